--- a/library/src/main/java/io/radishspindle/config/ChangeTask.java
+++ b/library/src/main/java/io/radishspindle/config/ChangeTask.java
@@ -132,7 +132,7 @@
         actions.add(new StoreWentBack(storeRevision, known));
         String message = "the store holds revision " + storeRevision + ", but revision " + known
                 + " was in force; the store has lost changes";
-        end(uncertain ? Failure.unknown(STEP, "store", message) : Failure.rejected(ErrorCode.CONFLICT, STEP, message));
+        end(uncertain ? Failure.outcomeUnknown(STEP, "store", message) : Failure.rejected(ErrorCode.CONFLICT, STEP, message));
     }
 
     private void verify(Versioned read) {
@@ -237,7 +237,7 @@
 
     private void expire() {
         if (uncertain || state == State.WRITING) {
-            end(Failure.unknown(
+            end(Failure.outcomeUnknown(
                     STEP,
                     "store",
                     "the store did not answer; look for change id " + request.changeId() + " in the audit entries"));
--- a/library/src/main/java/io/radishspindle/config/ConfigService.java
+++ b/library/src/main/java/io/radishspindle/config/ConfigService.java
@@ -108,7 +108,7 @@
             vertx.cancelTimer(timer);
             changes.values()
                     .forEach(promise -> promise.tryComplete(
-                            Either.left(Failure.unknown("config.change", "", "this VM is shutting down"))));
+                            Either.left(Failure.outcomeUnknown("config.change", "", "this VM is shutting down"))));
             changes.clear();
             done.complete();
         });
--- a/library/src/main/java/io/radishspindle/error/Failure.java
+++ b/library/src/main/java/io/radishspindle/error/Failure.java
@@ -22,7 +22,7 @@
     }
 
     /** A failure after which it is unknown whether the request had an effect. */
-    public static Failure unknown(String step, String peer, String message) {
+    public static Failure outcomeUnknown(String step, String peer, String message) {
         return new Failure(ErrorCode.OUTCOME_UNKNOWN, step, peer, message, false, 0);
     }
 }
--- a/library/src/main/java/io/radishspindle/idempotency/BucketWriter.java
+++ b/library/src/main/java/io/radishspindle/idempotency/BucketWriter.java
@@ -201,6 +201,6 @@
     private static <T> Either<Failure, T> unwrap(String step, AsyncResult<Either<Failure, T>> result) {
         return result.succeeded()
                 ? result.result()
-                : Either.left(Failure.unknown(step, "store", String.valueOf(result.cause())));
+                : Either.left(Failure.outcomeUnknown(step, "store", String.valueOf(result.cause())));
     }
 }
--- a/library/src/main/java/io/radishspindle/idempotency/StoreKeyedRequests.java
+++ b/library/src/main/java/io/radishspindle/idempotency/StoreKeyedRequests.java
@@ -87,7 +87,7 @@
         Promise<Either<Failure, Void>> promise = Promise.promise();
         submit(new BucketOperation.Release(claim, false, backgroundEnd()), COLLECT_INTENTS_MS)
                 .onComplete(done -> promise.tryComplete(done.result()));
-        Failure pending = Failure.unknown("idempotency.release", "store", "the release is not confirmed yet");
+        Failure pending = Failure.outcomeUnknown("idempotency.release", "store", "the release is not confirmed yet");
         environment.executor().execute(() -> environment
                 .timers()
                 .after(RELEASE_WAIT_MS, () -> promise.tryComplete(Either.left(pending))));
--- a/library/src/main/java/io/radishspindle/ownership/GroupRuntime.java
+++ b/library/src/main/java/io/radishspindle/ownership/GroupRuntime.java
@@ -91,7 +91,7 @@
         List<Promise<Either<Failure, JobStatus>>> pending = List.copyOf(requests.values());
         requests.clear();
         pending.forEach(promise -> promise.tryComplete(
-                Either.left(Failure.unknown("group", settings.vm().id(), "the VM has stopped"))));
+                Either.left(Failure.outcomeUnknown("group", settings.vm().id(), "the VM has stopped"))));
     }
 
     @Override
--- a/library/src/main/java/io/radishspindle/ownership/JobCoordinator.java
+++ b/library/src/main/java/io/radishspindle/ownership/JobCoordinator.java
@@ -237,7 +237,7 @@
     }
 
     private static Failure unknown(String step, String what) {
-        return Failure.unknown(step, "store", "it is not known whether the journal has " + what);
+        return Failure.outcomeUnknown(step, "store", "it is not known whether the journal has " + what);
     }
 
     private void perform(PlacementAction action) {
--- a/library/src/main/java/io/radishspindle/platform/http/HttpStore.java
+++ b/library/src/main/java/io/radishspindle/platform/http/HttpStore.java
@@ -102,7 +102,7 @@
     }
 
     private Failure brokenWrite(String step, HttpCaller.Broken broken) {
-        return broken.sent() ? Failure.unknown(step, peer, broken.reason()) : unavailable(step, broken.reason());
+        return broken.sent() ? Failure.outcomeUnknown(step, peer, broken.reason()) : unavailable(step, broken.reason());
     }
 
     private Either<Failure, Long> toVersion(String step, String key, HttpCaller.Reply reply) {
@@ -117,7 +117,7 @@
             return Either.left(unavailable(step, "status " + status));
         }
         if (status >= 500) {
-            return Either.left(Failure.unknown(step, peer, "status " + status));
+            return Either.left(Failure.outcomeUnknown(step, peer, "status " + status));
         }
         return Either.left(refused(step, reply));
     }
--- a/library/src/main/java/io/radishspindle/platform/http/HttpWorkerClient.java
+++ b/library/src/main/java/io/radishspindle/platform/http/HttpWorkerClient.java
@@ -46,7 +46,7 @@
 
     private static Failure toFailure(String peer, HttpCaller.Broken broken) {
         return broken.sent()
-                ? Failure.unknown(STEP, peer, broken.reason())
+                ? Failure.outcomeUnknown(STEP, peer, broken.reason())
                 : Failure.retryable(ErrorCode.PEER_UNREACHABLE, STEP, peer, broken.reason(), RETRY_AFTER_MS);
     }
 
@@ -58,6 +58,6 @@
         if ("true".equalsIgnoreCase(reply.headers().get(Wire.NOT_RUN))) {
             return Either.left(Failure.retryable(ErrorCode.PEER_REFUSED, STEP, peer, message, RETRY_AFTER_MS));
         }
-        return Either.left(Failure.unknown(STEP, peer, message));
+        return Either.left(Failure.outcomeUnknown(STEP, peer, message));
     }
 }
--- a/library/src/main/java/io/radishspindle/pool/runtime/JobIntake.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/JobIntake.java
@@ -178,7 +178,7 @@
         } else if (clock.nowMs() >= pending.deadlineMs || storeAway.getAsBoolean()) {
             // The caller repeats the request at another VM, which settles the outcome.
             pending.promise.complete(
-                    Either.left(Failure.unknown("job.store", failure.peer(), "outcome unknown: " + failure.message())));
+                    Either.left(Failure.outcomeUnknown("job.store", failure.peer(), "outcome unknown: " + failure.message())));
         } else {
             vertx.setTimer(REPEAT_MS, ignored -> {
                 waiting.add(pending);
--- a/library/src/main/java/io/radishspindle/routing/Refusals.java
+++ b/library/src/main/java/io/radishspindle/routing/Refusals.java
@@ -74,6 +74,6 @@
     }
 
     static Failure outcomeUnknown(Failure cause) {
-        return Failure.unknown(STEP, cause.peer(), cause.message() + "; outcome unknown");
+        return Failure.outcomeUnknown(STEP, cause.peer(), cause.message() + "; outcome unknown");
     }
 }
--- a/library/src/main/java/io/radishspindle/routing/RoutingRuntime.java
+++ b/library/src/main/java/io/radishspindle/routing/RoutingRuntime.java
@@ -282,7 +282,7 @@
 
     private void abandon(RoutingAction.Abandon action) {
         Failure failure = action.mayHaveRun()
-                ? Failure.unknown(Refusals.STEP, "", "the caller closed its connection")
+                ? Failure.outcomeUnknown(Refusals.STEP, "", "the caller closed its connection")
                 : Refusals.callerGone();
         refuse(action.requestId(), failure);
     }
@@ -319,6 +319,6 @@
     private static <T> Either<Failure, T> unwrap(String step, AsyncResult<Either<Failure, T>> result) {
         return result.succeeded()
                 ? result.result()
-                : Either.left(Failure.unknown(step, "", String.valueOf(result.cause())));
+                : Either.left(Failure.outcomeUnknown(step, "", String.valueOf(result.cause())));
     }
 }
--- a/library/src/test/java/io/radishspindle/config/ConfigFleet.java
+++ b/library/src/test/java/io/radishspindle/config/ConfigFleet.java
@@ -179,7 +179,7 @@
     private void pull(Vm vm, int start, Pull pull) {
         Vm from = vm(pull.fromVm());
         if (!connected(vm, from)) {
-            Failure failure = Failure.unknown("peer.request", from.id, "no answer");
+            Failure failure = Failure.outcomeUnknown("peer.request", from.id, "no answer");
             time.after(1_000, () -> vm.later(start, new PullAnswered(pull.id(), Either.left(failure))));
             return;
         }
--- a/library/src/test/java/io/radishspindle/config/FakeStore.java
+++ b/library/src/test/java/io/radishspindle/config/FakeStore.java
@@ -132,7 +132,7 @@
         loseNextWriteAnswer = false;
         boolean reachable = serves(vm);
         if (loses || (reachable && delayMs > CALL_TIMEOUT_MS)) {
-            Failure lost = Failure.unknown("store.put", "store", "no answer");
+            Failure lost = Failure.outcomeUnknown("store.put", "store", "no answer");
             time.after(CALL_TIMEOUT_MS, () -> answer.accept(Either.left(lost)));
             time.after(delayMs, () -> write(key, value, expected));
             return;
--- a/library/src/test/java/io/radishspindle/config/ServicesOverTcpTest.java
+++ b/library/src/test/java/io/radishspindle/config/ServicesOverTcpTest.java
@@ -117,7 +117,7 @@
                 vm -> java.util.Optional.ofNullable(addresses.get(vm)));
         await(messenger.start());
         addresses.put(id, new PeerDirectory.PeerAddress("127.0.0.1", messenger.port()));
-        VmList noList = () -> Future.succeededFuture(Either.left(Failure.unknown("vmlist", "", "no list")));
+        VmList noList = () -> Future.succeededFuture(Either.left(Failure.outcomeUnknown("vmlist", "", "no list")));
         MembershipService membership =
                 new MembershipService(vertx, clock, messenger, noList, settings, new MetricRegistry());
         ConfigService config = new ConfigService(vertx, clock, new QuietStore(), messenger, settings);
--- a/library/src/test/java/io/radishspindle/entry/job/SubmitJobSteps.java
+++ b/library/src/test/java/io/radishspindle/entry/job/SubmitJobSteps.java
@@ -46,7 +46,7 @@
 
     @Given("the connection to {string} breaks after the job was sent")
     public void connectionBreaks(String vm) {
-        peers.failAt(vm, Failure.unknown("peer.request", vm, "connection closed"));
+        peers.failAt(vm, Failure.outcomeUnknown("peer.request", vm, "connection closed"));
     }
 
     @Given("{string} takes the group over without the job when the connection to {string} breaks")
--- a/library/src/test/java/io/radishspindle/idempotency/FakeStore.java
+++ b/library/src/test/java/io/radishspindle/idempotency/FakeStore.java
@@ -80,7 +80,7 @@
     /** A delayed call takes effect after its caller has given up waiting. */
     private <T> Future<Either<Failure, T>> call(Supplier<Either<Failure, T>> action) {
         Promise<Either<Failure, T>> promise = Promise.promise();
-        Failure lost = Failure.unknown("store.call", "store", "no answer");
+        Failure lost = Failure.outcomeUnknown("store.call", "store", "no answer");
         time.after(TIMEOUT_MS, () -> promise.tryComplete(Either.left(lost)));
         if (down || random.nextDouble() < loseRequest) {
             return promise.future();
--- a/library/src/test/java/io/radishspindle/ownership/MemoryStore.java
+++ b/library/src/test/java/io/radishspindle/ownership/MemoryStore.java
@@ -63,7 +63,7 @@
         Either<Failure, Long> result = put(write);
         if (losesAnswers > 0) {
             losesAnswers--;
-            result = Either.left(Failure.unknown("store.put", "store", "answer lost"));
+            result = Either.left(Failure.outcomeUnknown("store.put", "store", "answer lost"));
         }
         fx.completeWrite(write.call(), result);
     }
--- a/library/src/test/java/io/radishspindle/pool/runtime/FakeSharedStore.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/FakeSharedStore.java
@@ -52,7 +52,7 @@
         calls++;
         if (hangs) {
             Promise<Either<Failure, T>> answer = Promise.promise();
-            hanging.add(() -> answer.complete(Either.left(Failure.unknown("store", "store", "no answer"))));
+            hanging.add(() -> answer.complete(Either.left(Failure.outcomeUnknown("store", "store", "no answer"))));
             return answer.future();
         }
         return Future.succeededFuture(
@@ -63,11 +63,11 @@
                                 Failure.retryable(ErrorCode.STORE_UNAVAILABLE, "store", "store", "refused", 1_000));
                     case LOSE_ANSWER -> {
                         action.get();
-                        yield Either.<Failure, T>left(Failure.unknown("store", "store", "no answer"));
+                        yield Either.<Failure, T>left(Failure.outcomeUnknown("store", "store", "no answer"));
                     }
                     case LOSE_CALL -> {
                         lostCalls.add(action::get);
-                        yield Either.<Failure, T>left(Failure.unknown("store", "store", "no answer"));
+                        yield Either.<Failure, T>left(Failure.outcomeUnknown("store", "store", "no answer"));
                     }
                 });
     }
--- a/library/src/test/java/io/radishspindle/protocol/TcpPeerMessengerTest.java
+++ b/library/src/test/java/io/radishspindle/protocol/TcpPeerMessengerTest.java
@@ -134,7 +134,7 @@
         // when
         TcpPeerMessenger restarted = messenger("b", KEY);
         restarted.handle(ConfigPull.class, (from, pull) -> Future.succeededFuture(Either.right(new Done())));
-        Either<Failure, Done> reply = Either.left(Failure.unknown("", "", ""));
+        Either<Failure, Done> reply = Either.left(Failure.outcomeUnknown("", "", ""));
         for (int i = 0; i < 100 && reply.isLeft(); i++) {
             reply = await(a.request("b", new ConfigPull(1), Done.class, LONG_MS));
             await(vertx.timer(100, TimeUnit.MILLISECONDS));
--- a/library/src/test/java/io/radishspindle/routing/CoreDriver.java
+++ b/library/src/test/java/io/radishspindle/routing/CoreDriver.java
@@ -92,7 +92,7 @@
     }
 
     static AttemptOutcome broken() {
-        return new AttemptOutcome.Failed(Failure.unknown("test", "e", "connection closed"));
+        return new AttemptOutcome.Failed(Failure.outcomeUnknown("test", "e", "connection closed"));
     }
 
     static AttemptOutcome refusedConnection() {
--- a/library/src/test/java/io/radishspindle/routing/HistoryCheckerTest.java
+++ b/library/src/test/java/io/radishspindle/routing/HistoryCheckerTest.java
@@ -59,7 +59,7 @@
 
     @Test
     void should_accept_what_the_guarantees_allow() {
-        Failure unknown = Failure.unknown("test", "e", "broken");
+        Failure unknown = Failure.outcomeUnknown("test", "e", "broken");
         assertThat(check(POST, new Ran("e", 1, "a", 150), GOOD)).isEmpty();
         assertThat(check(POST, new Ran("e", 1, "a", 150), new Refused(1, unknown, 160)))
                 .isEmpty();
--- a/library/src/test/java/io/radishspindle/routing/RoutingSimulation.java
+++ b/library/src/test/java/io/radishspindle/routing/RoutingSimulation.java
@@ -130,7 +130,7 @@
             if (!done[0]) {
                 done[0] = true;
                 timedOut[0] = true;
-                Failure failure = Failure.unknown("test", "", "no answer before the deadline");
+                Failure failure = Failure.outcomeUnknown("test", "", "no answer before the deadline");
                 reply.accept(new AttemptOutcome.Failed(failure), NONE);
             }
         });
--- a/library/src/test/java/io/radishspindle/routing/SimExecutor.java
+++ b/library/src/test/java/io/radishspindle/routing/SimExecutor.java
@@ -88,7 +88,7 @@
     }
 
     private AttemptOutcome broken() {
-        return new AttemptOutcome.Failed(Failure.unknown("executor.send", endpoint.id(), "connection closed"));
+        return new AttemptOutcome.Failed(Failure.outcomeUnknown("executor.send", endpoint.id(), "connection closed"));
     }
 
     private void later(long delayMs, Runnable task) {
--- a/library/src/test/java/io/radishspindle/routing/SimVm.java
+++ b/library/src/test/java/io/radishspindle/routing/SimVm.java
@@ -138,7 +138,7 @@
         } else if (action instanceof RoutingAction.Refuse refuse) {
             requests.remove(refuse.requestId()).responder.fail(refuse.failure());
         } else if (action instanceof RoutingAction.Abandon abandon) {
-            Failure gone = abandon.mayHaveRun() ? Failure.unknown("test", "", "gone") : Refusals.callerGone();
+            Failure gone = abandon.mayHaveRun() ? Failure.outcomeUnknown("test", "", "gone") : Refusals.callerGone();
             requests.remove(abandon.requestId()).responder.fail(gone);
         } else if (action instanceof RoutingAction.Probe probe) {
             world.probe(
--- a/operator-cli/src/test/java/io/radishspindle/cli/MemoryStore.java
+++ b/operator-cli/src/test/java/io/radishspindle/cli/MemoryStore.java
@@ -54,7 +54,7 @@
         entries.put(key, new Entry(key, value, expectedVersion + 1, revision));
         if (fault == Fault.ANSWER_LOST) {
             fault = Fault.NONE;
-            return Future.succeededFuture(Either.left(Failure.unknown("store.put", "store", "no answer")));
+            return Future.succeededFuture(Either.left(Failure.outcomeUnknown("store.put", "store", "no answer")));
         }
         return Future.succeededFuture(Either.right(expectedVersion + 1));
     }
--- a/operator-cli/src/test/java/io/radishspindle/cli/RadishCtlTest.java
+++ b/operator-cli/src/test/java/io/radishspindle/cli/RadishCtlTest.java
@@ -51,7 +51,7 @@
         @Override
         public <R extends PeerMessage> Future<Either<Failure, R>> request(
                 String toVm, PeerMessage message, Class<R> replyType, long timeoutMs) {
-            return Future.succeededFuture(Either.left(Failure.unknown("peer.request", toVm, "no peers")));
+            return Future.succeededFuture(Either.left(Failure.outcomeUnknown("peer.request", toVm, "no peers")));
         }
 
         @Override
--- a/soak-runner/src/main/java/io/radishspindle/soak/Network.java
+++ b/soak-runner/src/main/java/io/radishspindle/soak/Network.java
@@ -65,7 +65,7 @@
             Failure refused = Failure.retryable(ErrorCode.PEER_UNREACHABLE, "sim.call", to.id, "refused", 0);
             sim.after(2, () -> once.accept(Either.left(refused)));
         }
-        Failure timeout = Failure.unknown("sim.call", to.id, "no answer");
+        Failure timeout = Failure.outcomeUnknown("sim.call", to.id, "no answer");
         sim.after(timeoutMs, () -> once.accept(Either.left(timeout)));
     }
 
