--- a/library/src/main/java/io/radishspindle/config/ChangeTask.java
+++ b/library/src/main/java/io/radishspindle/config/ChangeTask.java
@@ -132,7 +132,10 @@
         actions.add(new StoreWentBack(storeRevision, known));
         String message = "the store holds revision " + storeRevision + ", but revision " + known
                 + " was in force; the store has lost changes";
-        end(uncertain ? Failure.outcomeUnknown(STEP, "store", message) : Failure.rejected(ErrorCode.CONFLICT, STEP, message));
+        end(
+                uncertain
+                        ? Failure.outcomeUnknown(STEP, "store", message)
+                        : Failure.rejected(ErrorCode.CONFLICT, STEP, message));
     }
 
     private void verify(Versioned read) {
--- a/library/src/main/java/io/radishspindle/config/ConfigService.java
+++ b/library/src/main/java/io/radishspindle/config/ConfigService.java
@@ -26,7 +26,7 @@
 import io.radishspindle.protocol.PeerMessenger;
 import io.radishspindle.protocol.message.ConfigDocument;
 import io.radishspindle.protocol.message.ConfigPull;
-import io.radishspindle.protocol.message.Done;
+import io.radishspindle.protocol.message.EmptyReply;
 import io.radishspindle.settings.EntrySettings;
 import io.vavr.control.Either;
 import io.vertx.core.Context;
@@ -91,7 +91,7 @@
                     (from, pull) -> Future.succeededFuture(Either.right(core.answerPull(pull.haveRevision()))));
             messenger.handle(ConfigDocument.class, (from, document) -> {
                 handle(new DocumentReceived(from, document));
-                return Future.succeededFuture(Either.right(new Done()));
+                return Future.succeededFuture(Either.right(new EmptyReply()));
             });
             timer = vertx.setPeriodic(TICK_MS, tick -> handle(new Tick(clock.wallMs())));
             handle(new Tick(clock.wallMs()));
--- a/library/src/main/java/io/radishspindle/membership/MembershipService.java
+++ b/library/src/main/java/io/radishspindle/membership/MembershipService.java
@@ -18,7 +18,7 @@
 import io.radishspindle.protocol.PeerDirectory;
 import io.radishspindle.protocol.PeerMessage;
 import io.radishspindle.protocol.PeerMessenger;
-import io.radishspindle.protocol.message.Done;
+import io.radishspindle.protocol.message.EmptyReply;
 import io.radishspindle.protocol.message.Heartbeat;
 import io.radishspindle.protocol.message.RelayDigest;
 import io.radishspindle.settings.EntrySettings;
@@ -177,7 +177,7 @@
     private Future<Either<Failure, PeerMessage>> handled(MembershipEvent event) {
         metrics.meter("membership.messages-received").mark();
         handle(event);
-        return Future.succeededFuture(Either.right(new Done()));
+        return Future.succeededFuture(Either.right(new EmptyReply()));
     }
 
     private void handle(MembershipEvent event) {
--- a/library/src/main/java/io/radishspindle/platform/http/HttpExecutorClient.java
+++ b/library/src/main/java/io/radishspindle/platform/http/HttpExecutorClient.java
@@ -128,7 +128,9 @@
     }
 
     private static Failure toFailure(String step, String peer, HttpCaller.Broken broken) {
-        return broken.sent() ? Failure.outcomeUnknown(step, peer, broken.reason()) : unreachable(step, peer, broken.reason());
+        return broken.sent()
+                ? Failure.outcomeUnknown(step, peer, broken.reason())
+                : unreachable(step, peer, broken.reason());
     }
 
     private static Failure unreachable(String step, String peer, String reason) {
--- a/library/src/main/java/io/radishspindle/pool/runtime/AdviceDispatcher.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/AdviceDispatcher.java
@@ -6,8 +6,8 @@
 import io.radishspindle.pool.core.AdviceChannels;
 import io.radishspindle.pool.port.AdviceService.Advice;
 import io.radishspindle.protocol.PeerMessenger;
-import io.radishspindle.protocol.message.PoolMessages.AdviceGiven;
-import io.radishspindle.protocol.message.PoolMessages.AskAdvice;
+import io.radishspindle.protocol.message.PoolMessages.AdviceReply;
+import io.radishspindle.protocol.message.PoolMessages.RequestAdvice;
 import io.vavr.control.Either;
 import io.vertx.core.Future;
 import java.util.ArrayList;
@@ -193,7 +193,7 @@
         }
         long timeoutMs = AdviceChannel.timeoutMs(expectedMs);
         return messenger
-                .request(vm, new AskAdvice(step, workers, expectedMs), AdviceGiven.class, timeoutMs)
+                .request(vm, new RequestAdvice(step, workers, expectedMs), AdviceReply.class, timeoutMs)
                 .map(reply -> reply.map(given -> new Advice(given.tickets(), given.validMs())));
     }
 
--- a/library/src/main/java/io/radishspindle/pool/runtime/ConfigRelay.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/ConfigRelay.java
@@ -9,7 +9,7 @@
 import io.radishspindle.pool.runtime.Records.Member;
 import io.radishspindle.protocol.PeerMessage;
 import io.radishspindle.protocol.PeerMessenger;
-import io.radishspindle.protocol.message.PoolMessages.ConfigAnswer;
+import io.radishspindle.protocol.message.PoolMessages.ConfigReply;
 import io.radishspindle.protocol.message.PoolMessages.QueryConfig;
 import io.vavr.control.Either;
 import io.vertx.core.Future;
@@ -124,7 +124,7 @@
         }
         String reader = readers.next();
         return messenger
-                .request(reader, new QueryConfig(afterRevision, WAIT_MS), ConfigAnswer.class, WAIT_MS + ANSWER_MS)
+                .request(reader, new QueryConfig(afterRevision, WAIT_MS), ConfigReply.class, WAIT_MS + ANSWER_MS)
                 .compose(reply -> {
                     if (reply.isRight()) {
                         lastAnswerMs = clock.nowMs();
@@ -140,7 +140,7 @@
                 });
     }
 
-    private static Listing listing(ConfigAnswer answer, long afterRevision) {
+    private static Listing listing(ConfigReply answer, long afterRevision) {
         return answer.value().length == 0
                 ? new Listing(List.of(), afterRevision)
                 : new Listing(List.of(new Item(answer.key(), answer.value(), answer.revision())), answer.revision());
@@ -195,7 +195,7 @@
         waiting.add(question);
         vertx.setTimer(Math.max(1, query.waitMs()), ignored -> {
             if (waiting.remove(question)) {
-                question.promise().complete(Either.right(new ConfigAnswer("", new byte[0], 0)));
+                question.promise().complete(Either.right(new ConfigReply("", new byte[0], 0)));
             }
         });
         return question.promise().future();
@@ -210,7 +210,7 @@
                         self.vmId(),
                         "the configuration is absent or does not fit a message",
                         DIRECT_AFTER_MS))
-                : Either.right(new ConfigAnswer(item.key(), value, item.revision()));
+                : Either.right(new ConfigReply(item.key(), value, item.revision()));
     }
 
     private Failure unavailable(String reason) {
--- a/library/src/main/java/io/radishspindle/pool/runtime/JobIntake.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/JobIntake.java
@@ -177,8 +177,8 @@
             pending.promise.complete(Either.left(refusal(failure.message())));
         } else if (clock.nowMs() >= pending.deadlineMs || storeAway.getAsBoolean()) {
             // The caller repeats the request at another VM, which settles the outcome.
-            pending.promise.complete(
-                    Either.left(Failure.outcomeUnknown("job.store", failure.peer(), "outcome unknown: " + failure.message())));
+            pending.promise.complete(Either.left(
+                    Failure.outcomeUnknown("job.store", failure.peer(), "outcome unknown: " + failure.message())));
         } else {
             vertx.setTimer(REPEAT_MS, ignored -> {
                 waiting.add(pending);
--- a/library/src/main/java/io/radishspindle/pool/runtime/PoolNode.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/PoolNode.java
@@ -16,9 +16,8 @@
 import io.radishspindle.pool.port.WorkerControl;
 import io.radishspindle.protocol.PeerMessage;
 import io.radishspindle.protocol.TcpPeerMessenger;
-import io.radishspindle.protocol.message.Done;
-import io.radishspindle.protocol.message.PoolMessages.AdviceGiven;
-import io.radishspindle.protocol.message.PoolMessages.AskAdvice;
+import io.radishspindle.protocol.message.EmptyReply;
+import io.radishspindle.protocol.message.PoolMessages.AdviceReply;
 import io.radishspindle.protocol.message.PoolMessages.CancelStored;
 import io.radishspindle.protocol.message.PoolMessages.JobStored;
 import io.radishspindle.protocol.message.PoolMessages.PendingJobs;
@@ -29,6 +28,7 @@
 import io.radishspindle.protocol.message.PoolMessages.QueryPending;
 import io.radishspindle.protocol.message.PoolMessages.QueryPoolJob;
 import io.radishspindle.protocol.message.PoolMessages.RelayStore;
+import io.radishspindle.protocol.message.PoolMessages.RequestAdvice;
 import io.vavr.control.Either;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -312,9 +312,9 @@
                         .orElse(-1))));
         messenger.handle(QueryConfig.class, (vm, message) -> configRelay.serve(message));
         messenger.handle(RelayStore.class, (vm, message) -> store.serve(message).map(Either::narrow));
-        messenger.handle(AskAdvice.class, (vm, message) -> channel.advise(
+        messenger.handle(RequestAdvice.class, (vm, message) -> channel.advise(
                         message.step(), message.workers(), message.expectedMs())
-                .map(result -> result.map(given -> new AdviceGiven(given.tickets(), given.validMs()))));
+                .map(result -> result.map(given -> new AdviceReply(given.tickets(), given.validMs()))));
     }
 
     private Optional<PoolOwner> ownerOf(String pool) {
@@ -330,7 +330,7 @@
     }
 
     private static Future<Either<Failure, PeerMessage>> done() {
-        return answer(new Done());
+        return answer(new EmptyReply());
     }
 
     /** Refusal of a VM that has no configuration yet. */
--- a/library/src/main/java/io/radishspindle/pool/runtime/RelayedStore.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/RelayedStore.java
@@ -6,8 +6,8 @@
 import io.radishspindle.pool.port.SharedStore;
 import io.radishspindle.protocol.PeerMessenger;
 import io.radishspindle.protocol.message.PoolMessages.RelayStore;
+import io.radishspindle.protocol.message.PoolMessages.RelayStoreReply;
 import io.radishspindle.protocol.message.PoolMessages.RelayedItem;
-import io.radishspindle.protocol.message.PoolMessages.StoreRelayed;
 import io.vavr.control.Either;
 import io.vertx.core.Future;
 import java.util.ArrayList;
@@ -140,7 +140,7 @@
                 ErrorCode.STORE_UNAVAILABLE, "store." + operation, "store", "store is away", MIN_RETRY_AFTER_MS);
     }
 
-    private static Listing listing(StoreRelayed reply) {
+    private static Listing listing(RelayStoreReply reply) {
         return new Listing(reply.items().stream().map(RelayedStore::item).toList(), reply.revision());
     }
 
@@ -171,7 +171,7 @@
         return direct(() -> direct.renewLease(lease)).compose(result -> {
             boolean open = result.isLeft() && result.getLeft().code() != ErrorCode.NOT_FOUND;
             return open
-                    ? relay(relay, 0, result.getLeft()).map(reply -> reply.map(StoreRelayed::revision))
+                    ? relay(relay, 0, result.getLeft()).map(reply -> reply.map(RelayStoreReply::revision))
                     : Future.succeededFuture(result);
         });
     }
@@ -192,7 +192,7 @@
     }
 
     private <T> Future<Either<Failure, T>> call(
-            Supplier<Future<Either<Failure, T>>> directCall, RelayStore relay, Function<StoreRelayed, T> decoder) {
+            Supplier<Future<Either<Failure, T>>> directCall, RelayStore relay, Function<RelayStoreReply, T> decoder) {
         if (isDirectPathDown()) {
             return relay(relay, 0, unreachable(relay.operation())).compose(reply -> {
                 boolean notRun = reply.isLeft() && reply.getLeft().notRun();
@@ -211,14 +211,14 @@
         });
     }
 
-    private Future<Either<Failure, StoreRelayed>> relay(RelayStore message, int tries, Failure cause) {
+    private Future<Either<Failure, RelayStoreReply>> relay(RelayStore message, int tries, Failure cause) {
         List<String> candidates = peers.get();
         if (candidates.isEmpty() || tries >= MAX_PEERS) {
             return Future.succeededFuture(Either.left(cause));
         }
         String peer = nextPeer(candidates);
         return messenger
-                .request(peer, message, StoreRelayed.class, RELAY_TIMEOUT_MS)
+                .request(peer, message, RelayStoreReply.class, RELAY_TIMEOUT_MS)
                 .onSuccess(reply -> noteAnswer(peer, reply))
                 .compose(reply -> reply.isLeft() && reply.getLeft().notRun() && isOutage(reply.getLeft())
                         ? relay(message, tries + 1, cause)
@@ -236,7 +236,7 @@
         return candidates.get(Math.floorMod(rotation++, candidates.size()));
     }
 
-    private void noteAnswer(String peer, Either<Failure, StoreRelayed> reply) {
+    private void noteAnswer(String peer, Either<Failure, RelayStoreReply> reply) {
         boolean silent = reply.isLeft()
                 && (reply.getLeft().code() == ErrorCode.PEER_UNREACHABLE
                         || reply.getLeft().code() == ErrorCode.OUTCOME_UNKNOWN);
@@ -271,7 +271,7 @@
     }
 
     /** Makes a relayed call for another VM; never relays further. */
-    Future<Either<Failure, StoreRelayed>> serve(RelayStore message) {
+    Future<Either<Failure, RelayStoreReply>> serve(RelayStore message) {
         if (isDirectPathDown()) {
             return Future.succeededFuture(Either.left(Failure.retryable(
                     ErrorCode.STORE_UNAVAILABLE, "store.relay", "store", "store is away here, too", 1_000)));
@@ -279,25 +279,25 @@
         return switch (message.operation()) {
             case "get" ->
                 direct.get(message.key())
-                        .map(result -> result.map(item -> new StoreRelayed(
+                        .map(result -> result.map(item -> new RelayStoreReply(
                                 true,
                                 0,
                                 item.map(RelayedStore::relayed).stream().toList())));
             case "list" ->
                 direct.list(message.key())
                         .map(result -> result.map(
-                                listing -> new StoreRelayed(true, listing.revision(), relayed(listing.items()))));
+                                listing -> new RelayStoreReply(true, listing.revision(), relayed(listing.items()))));
             case "watch" ->
                 direct.watch(message.key(), message.number(), RELAYED_WAIT_MS)
                         .map(result -> result.map(
-                                listing -> new StoreRelayed(true, listing.revision(), relayed(listing.items()))));
+                                listing -> new RelayStoreReply(true, listing.revision(), relayed(listing.items()))));
             case "renew" ->
                 direct.renewLease(message.number())
-                        .map(result -> result.map(ttlMs -> new StoreRelayed(true, ttlMs, List.of())));
+                        .map(result -> result.map(ttlMs -> new RelayStoreReply(true, ttlMs, List.of())));
             case "transact" ->
                 direct.transact(txn(message))
                         .map(result -> result.map(
-                                done -> new StoreRelayed(done.applied(), done.revision(), relayed(done.current()))));
+                                done -> new RelayStoreReply(done.applied(), done.revision(), relayed(done.current()))));
             default ->
                 Future.succeededFuture(Either.left(Failure.rejected(
                         ErrorCode.INVALID_REQUEST, "store.relay", "unknown operation " + message.operation())));
--- a/library/src/main/java/io/radishspindle/protocol/MessageTypes.java
+++ b/library/src/main/java/io/radishspindle/protocol/MessageTypes.java
@@ -3,7 +3,7 @@
 import io.radishspindle.protocol.message.CancelJob;
 import io.radishspindle.protocol.message.ConfigDocument;
 import io.radishspindle.protocol.message.ConfigPull;
-import io.radishspindle.protocol.message.Done;
+import io.radishspindle.protocol.message.EmptyReply;
 import io.radishspindle.protocol.message.ForwardRequest;
 import io.radishspindle.protocol.message.ForwardResponse;
 import io.radishspindle.protocol.message.Heartbeat;
@@ -30,7 +30,7 @@
             Map.entry(9, ListJobsReply.class),
             Map.entry(10, ForwardRequest.class),
             Map.entry(11, ForwardResponse.class),
-            Map.entry(12, Done.class),
+            Map.entry(12, EmptyReply.class),
             Map.entry(13, RelayDigest.class),
             Map.entry(14, PoolMessages.JobStored.class),
             Map.entry(15, PoolMessages.CancelStored.class),
@@ -40,12 +40,12 @@
             Map.entry(19, PoolMessages.PendingJobs.class),
             Map.entry(20, PoolMessages.PoolPing.class),
             Map.entry(21, PoolMessages.PoolPong.class),
-            Map.entry(22, PoolMessages.AskAdvice.class),
-            Map.entry(23, PoolMessages.AdviceGiven.class),
+            Map.entry(22, PoolMessages.RequestAdvice.class),
+            Map.entry(23, PoolMessages.AdviceReply.class),
             Map.entry(24, PoolMessages.RelayStore.class),
-            Map.entry(25, PoolMessages.StoreRelayed.class),
+            Map.entry(25, PoolMessages.RelayStoreReply.class),
             Map.entry(26, PoolMessages.QueryConfig.class),
-            Map.entry(27, PoolMessages.ConfigAnswer.class));
+            Map.entry(27, PoolMessages.ConfigReply.class));
 
     private MessageTypes() {}
 }
--- a/library/src/main/java/io/radishspindle/protocol/PeerLink.java
+++ b/library/src/main/java/io/radishspindle/protocol/PeerLink.java
@@ -191,7 +191,10 @@
         for (long id : List.copyOf(outstanding.keySet())) {
             Outstanding request = outstanding.get(id);
             boolean written = request != null && request.written;
-            end(id, Either.left(written ? Failure.outcomeUnknown("peer.request", peer, reason) : unreachable(reason, 1)));
+            end(
+                    id,
+                    Either.left(
+                            written ? Failure.outcomeUnknown("peer.request", peer, reason) : unreachable(reason, 1)));
         }
     }
 
@@ -224,7 +227,8 @@
             return;
         }
         String message = "no answer within " + timeoutMs + " ms";
-        Failure failure = request.written ? Failure.outcomeUnknown("peer.request", peer, message) : unreachable(message, 1);
+        Failure failure =
+                request.written ? Failure.outcomeUnknown("peer.request", peer, message) : unreachable(message, 1);
         end(id, Either.left(failure));
     }
 
--- a/library/src/main/java/io/radishspindle/protocol/message/Done.java
+++ b/library/src/main/java/io/radishspindle/protocol/message/EmptyReply.java
@@ -3,4 +3,4 @@
 import io.radishspindle.protocol.PeerMessage;
 
 /** Empty answer. Immutable and thread-safe. */
-public record Done() implements PeerMessage {}
+public record EmptyReply() implements PeerMessage {}
--- a/library/src/main/java/io/radishspindle/protocol/message/PoolMessages.java
+++ b/library/src/main/java/io/radishspindle/protocol/message/PoolMessages.java
@@ -41,17 +41,17 @@
      */
     public record PoolPong(boolean owner) implements PeerMessage {}
 
-    /** Asks a VM to make a call for advice; answered by {@link AdviceGiven}. */
-    public record AskAdvice(String step, List<String> workers, long expectedMs) implements PeerMessage {}
+    /** Asks a VM to make a call for advice; answered by {@link AdviceReply}. */
+    public record RequestAdvice(String step, List<String> workers, long expectedMs) implements PeerMessage {}
 
     /** Tickets by worker id, with their validity in milliseconds. */
-    public record AdviceGiven(Map<String, String> tickets, long validMs) implements PeerMessage {}
+    public record AdviceReply(Map<String, String> tickets, long validMs) implements PeerMessage {}
 
     /** One key of a relayed call; an absent value is null. */
     public record RelayedItem(String key, byte[] value, long revision, long lease) {}
 
     /**
-     * A store call that the sender can't make itself; answered by {@link StoreRelayed}.
+     * A store call that the sender can't make itself; answered by {@link RelayStoreReply}.
      *
      * @param operation name of the call
      * @param key key, prefix or lease
@@ -67,15 +67,15 @@
             implements PeerMessage {}
 
     /**
-     * Asks a VM of the same region for the operators' configuration; answered by {@link ConfigAnswer}.
+     * Asks a VM of the same region for the operators' configuration; answered by {@link ConfigReply}.
      *
      * @param afterRevision the answer waits for a later revision, at most {@code waitMs} milliseconds
      */
     public record QueryConfig(long afterRevision, long waitMs) implements PeerMessage {}
 
     /** The configuration as the store keeps it; an empty value says that there is no later one. */
-    public record ConfigAnswer(String key, byte[] value, long revision) implements PeerMessage {}
+    public record ConfigReply(String key, byte[] value, long revision) implements PeerMessage {}
 
     /** Result of a relayed call. */
-    public record StoreRelayed(boolean applied, long revision, List<RelayedItem> items) implements PeerMessage {}
+    public record RelayStoreReply(boolean applied, long revision, List<RelayedItem> items) implements PeerMessage {}
 }
--- a/library/src/test/java/io/radishspindle/pool/runtime/AdviceDispatcherTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/AdviceDispatcherTest.java
@@ -7,7 +7,7 @@
 import io.radishspindle.pool.core.AdviceChannels;
 import io.radishspindle.pool.port.AdviceService;
 import io.radishspindle.pool.port.SharedStore;
-import io.radishspindle.protocol.message.PoolMessages.AdviceGiven;
+import io.radishspindle.protocol.message.PoolMessages.AdviceReply;
 import io.vavr.control.Either;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
@@ -45,7 +45,7 @@
         for (String vm : names) {
             Records.Member member = new Records.Member("10.0.0.1", 80, "dc", "r", "1", 1, false);
             view.changed(new SharedStore.Item(StoreKeys.member(vm), Records.encode(member), 1));
-            messenger.peers.put(vm, message -> Promise.<Either<Failure, AdviceGiven>>promise()
+            messenger.peers.put(vm, message -> Promise.<Either<Failure, AdviceReply>>promise()
                     .future());
         }
     }
@@ -53,7 +53,7 @@
     @Test
     void should_use_each_vm_for_one_call_at_a_time() {
         // given
-        Promise<Either<Failure, AdviceGiven>> pending = Promise.promise();
+        Promise<Either<Failure, AdviceReply>> pending = Promise.promise();
         messenger.peers.put("b", message -> pending.future());
         messenger.peers.put("c", message -> pending.future());
 
@@ -72,7 +72,7 @@
         // given
         Failure failure = Failure.retryable(ErrorCode.PEER_UNREACHABLE, "peer.request", "b", "not connected", 100);
         messenger.peers.put("b", message -> Future.succeededFuture(Either.left(failure)));
-        messenger.peers.put("c", message -> Future.succeededFuture(Either.right(new AdviceGiven(Map.of(), 2_000))));
+        messenger.peers.put("c", message -> Future.succeededFuture(Either.right(new AdviceReply(Map.of(), 2_000))));
 
         // when
         for (int i = 0; i < 20; i++) {
@@ -90,7 +90,7 @@
         // given
         Failure occupied = Failure.retryable(ErrorCode.OVERLOADED, "advice.call", "", "in progress", 400);
         messenger.peers.put("b", message -> Future.succeededFuture(Either.left(occupied)));
-        messenger.peers.put("c", message -> Future.succeededFuture(Either.right(new AdviceGiven(Map.of(), 2_000))));
+        messenger.peers.put("c", message -> Future.succeededFuture(Either.right(new AdviceReply(Map.of(), 2_000))));
 
         // when
         Future<Either<Failure, AdviceService.Advice>> answer = ask();
@@ -121,7 +121,7 @@
     void should_keep_a_vm_free_for_short_calls_while_the_pool_makes_them() {
         // given
         addVms("d");
-        messenger.peers.put("b", message -> Future.succeededFuture(Either.right(new AdviceGiven(Map.of(), 2_000))));
+        messenger.peers.put("b", message -> Future.succeededFuture(Either.right(new AdviceReply(Map.of(), 2_000))));
         ask("first", 20);
         addVms("b");
 
--- a/library/src/test/java/io/radishspindle/pool/runtime/ConfigRelayTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/ConfigRelayTest.java
@@ -6,7 +6,7 @@
 import io.radishspindle.pool.port.SharedStore.Item;
 import io.radishspindle.pool.port.SharedStore.Listing;
 import io.radishspindle.protocol.PeerMessage;
-import io.radishspindle.protocol.message.PoolMessages.ConfigAnswer;
+import io.radishspindle.protocol.message.PoolMessages.ConfigReply;
 import io.radishspindle.protocol.message.PoolMessages.QueryConfig;
 import io.vavr.control.Either;
 import io.vertx.core.Future;
@@ -183,7 +183,7 @@
         // then
         assertThat(answer.isComplete()).isFalse();
         reader.seen(new Item(KEY, new byte[] {2}, 9));
-        assertThat(answer.result().get()).isInstanceOfSatisfying(ConfigAnswer.class, given -> {
+        assertThat(answer.result().get()).isInstanceOfSatisfying(ConfigReply.class, given -> {
             assertThat(given.revision()).isEqualTo(9);
             assertThat(given.value()).containsExactly(2);
         });
--- a/library/src/test/java/io/radishspindle/pool/runtime/StoreReturnTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/StoreReturnTest.java
@@ -126,7 +126,9 @@
     void should_pass_over_a_peer_that_did_not_answer() {
         // given
         messenger.peers.put(
-                "b", message -> Future.succeededFuture(Either.left(Failure.outcomeUnknown("peer.request", "b", "no answer"))));
+                "b",
+                message ->
+                        Future.succeededFuture(Either.left(Failure.outcomeUnknown("peer.request", "b", "no answer"))));
         loseStore(Fault.REFUSE);
         messenger.asked.clear();
 
--- a/library/src/test/java/io/radishspindle/protocol/HostilePeersTest.java
+++ b/library/src/test/java/io/radishspindle/protocol/HostilePeersTest.java
@@ -6,7 +6,7 @@
 import io.radishspindle.error.Failure;
 import io.radishspindle.platform.SystemClock;
 import io.radishspindle.protocol.message.ConfigPull;
-import io.radishspindle.protocol.message.Done;
+import io.radishspindle.protocol.message.EmptyReply;
 import io.vavr.control.Either;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -39,7 +39,7 @@
     @BeforeEach
     void start() {
         target = new TcpPeerMessenger(vertx, new SystemClock(), "target", "127.0.0.1", 0, KEY, vm -> Optional.empty());
-        target.handle(ConfigPull.class, (from, pull) -> Future.succeededFuture(Either.right(new Done())));
+        target.handle(ConfigPull.class, (from, pull) -> Future.succeededFuture(Either.right(new EmptyReply())));
         await(target.start());
         friend = new TcpPeerMessenger(
                 vertx,
@@ -66,7 +66,8 @@
     }
 
     private boolean friendIsServed() {
-        Either<Failure, Done> reply = await(friend.request("target", new ConfigPull(1), Done.class, LONG_MS));
+        Either<Failure, EmptyReply> reply =
+                await(friend.request("target", new ConfigPull(1), EmptyReply.class, LONG_MS));
         return reply.isRight();
     }
 
@@ -195,7 +196,7 @@
                 KEY,
                 vm -> Optional.of(new PeerDirectory.PeerAddress("127.0.0.1", target.port())));
         await(late.start());
-        Either<Failure, Done> reply = await(late.request("target", new ConfigPull(1), Done.class, LONG_MS));
+        Either<Failure, EmptyReply> reply = await(late.request("target", new ConfigPull(1), EmptyReply.class, LONG_MS));
 
         // then
         assertThat(reply.isRight()).isTrue();
--- a/library/src/test/java/io/radishspindle/protocol/TcpPeerMessengerTest.java
+++ b/library/src/test/java/io/radishspindle/protocol/TcpPeerMessengerTest.java
@@ -7,7 +7,7 @@
 import io.radishspindle.platform.SystemClock;
 import io.radishspindle.protocol.message.ConfigDocument;
 import io.radishspindle.protocol.message.ConfigPull;
-import io.radishspindle.protocol.message.Done;
+import io.radishspindle.protocol.message.EmptyReply;
 import io.vavr.control.Either;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -98,9 +98,10 @@
         b.handle(ConfigPull.class, (from, pull) -> Future.future(never -> {}));
 
         // when
-        Failure sent = await(a.request("b", new ConfigPull(1), Done.class, 300)).getLeft();
-        Failure notSent =
-                await(a.request("unknown", new ConfigPull(1), Done.class, 300)).getLeft();
+        Failure sent =
+                await(a.request("b", new ConfigPull(1), EmptyReply.class, 300)).getLeft();
+        Failure notSent = await(a.request("unknown", new ConfigPull(1), EmptyReply.class, 300))
+                .getLeft();
 
         // then
         assertThat(sent.notRun()).isFalse();
@@ -111,11 +112,11 @@
     @Test
     void should_refuse_a_peer_with_another_key() {
         // given
-        b.handle(ConfigPull.class, (from, pull) -> Future.succeededFuture(Either.right(new Done())));
+        b.handle(ConfigPull.class, (from, pull) -> Future.succeededFuture(Either.right(new EmptyReply())));
         TcpPeerMessenger stranger = messenger("c", "another-key-of-16-characters");
 
         // when
-        Failure failure = await(stranger.request("b", new ConfigPull(1), Done.class, LONG_MS))
+        Failure failure = await(stranger.request("b", new ConfigPull(1), EmptyReply.class, LONG_MS))
                 .getLeft();
 
         // then
@@ -126,17 +127,18 @@
     @Test
     void should_reconnect_to_a_restarted_peer() {
         // given
-        b.handle(ConfigPull.class, (from, pull) -> Future.succeededFuture(Either.right(new Done())));
-        assertThat(await(a.request("b", new ConfigPull(1), Done.class, LONG_MS)).isRight())
+        b.handle(ConfigPull.class, (from, pull) -> Future.succeededFuture(Either.right(new EmptyReply())));
+        assertThat(await(a.request("b", new ConfigPull(1), EmptyReply.class, LONG_MS))
+                        .isRight())
                 .isTrue();
         await(b.close());
 
         // when
         TcpPeerMessenger restarted = messenger("b", KEY);
-        restarted.handle(ConfigPull.class, (from, pull) -> Future.succeededFuture(Either.right(new Done())));
-        Either<Failure, Done> reply = Either.left(Failure.outcomeUnknown("", "", ""));
+        restarted.handle(ConfigPull.class, (from, pull) -> Future.succeededFuture(Either.right(new EmptyReply())));
+        Either<Failure, EmptyReply> reply = Either.left(Failure.outcomeUnknown("", "", ""));
         for (int i = 0; i < 100 && reply.isLeft(); i++) {
-            reply = await(a.request("b", new ConfigPull(1), Done.class, LONG_MS));
+            reply = await(a.request("b", new ConfigPull(1), EmptyReply.class, LONG_MS));
             await(vertx.timer(100, TimeUnit.MILLISECONDS));
         }
 
@@ -150,7 +152,7 @@
         ConfigDocument huge = new ConfigDocument(1, new byte[PeerCodec.MAX_FRAME_BYTES]);
 
         // when
-        Failure failure = await(a.request("b", huge, Done.class, LONG_MS)).getLeft();
+        Failure failure = await(a.request("b", huge, EmptyReply.class, LONG_MS)).getLeft();
 
         // then
         assertThat(failure.notRun()).isTrue();
@@ -161,15 +163,15 @@
     void should_refuse_requests_beyond_the_bound_of_outstanding_ones() {
         // given a connected peer that never answers
         b.handle(ConfigPull.class, (from, pull) -> Future.future(never -> {}));
-        assertThat(await(a.request("b", new ConfigPull(0), Done.class, 2_000))
+        assertThat(await(a.request("b", new ConfigPull(0), EmptyReply.class, 2_000))
                         .getLeft()
                         .notRun())
                 .isFalse();
 
         // when
-        List<Future<Either<Failure, Done>>> replies = new ArrayList<>();
+        List<Future<Either<Failure, EmptyReply>>> replies = new ArrayList<>();
         for (int i = 0; i <= PeerLink.MAX_OUTSTANDING; i++) {
-            replies.add(a.request("b", new ConfigPull(i), Done.class, 3_000));
+            replies.add(a.request("b", new ConfigPull(i), EmptyReply.class, 3_000));
         }
 
         // then only the last one is refused, and it certainly did not run
