--- a/library/src/main/java/io/radishspindle/membership/MembershipCore.java
+++ b/library/src/main/java/io/radishspindle/membership/MembershipCore.java
@@ -112,7 +112,7 @@
 
     private void onDigest(long nowMs, String fromVm, RelayDigest digest, List<MembershipAction> actions) {
         RemoteDataCentre remote = remotes.get(digest.dataCentre());
-        if (remote == null || !remote.receive(nowMs, digest, incarnation) || digest.passedOn()) {
+        if (remote == null || !remote.receive(nowMs, digest, incarnation) || digest.forwarded()) {
             return;
         }
         RelayDigest copy = remote.passedOn(nowMs, digest);
--- a/library/src/main/java/io/radishspindle/membership/RemoteDataCentre.java
+++ b/library/src/main/java/io/radishspindle/membership/RemoteDataCentre.java
@@ -89,7 +89,7 @@
     }
 
     private void acknowledge(RelayDigest digest, long localIncarnation) {
-        if (digest.passedOn() || !digest.relayVm().equals(target)) {
+        if (digest.forwarded() || !digest.relayVm().equals(target)) {
             return;
         }
         if (digest.incarnation() != targetIncarnation) {
--- a/library/src/main/java/io/radishspindle/pool/runtime/RelayedStore.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/RelayedStore.java
@@ -288,11 +288,11 @@
                         .map(result -> result.map(
                                 listing -> new RelayStoreReply(true, listing.revision(), relayed(listing.items()))));
             case "watch" ->
-                direct.watch(message.key(), message.number(), RELAYED_WAIT_MS)
+                direct.watch(message.key(), message.argument(), RELAYED_WAIT_MS)
                         .map(result -> result.map(
                                 listing -> new RelayStoreReply(true, listing.revision(), relayed(listing.items()))));
             case "renew" ->
-                direct.renewLease(message.number())
+                direct.renewLease(message.argument())
                         .map(result -> result.map(ttlMs -> new RelayStoreReply(true, ttlMs, List.of())));
             case "transact" ->
                 direct.transact(txn(message))
--- a/library/src/main/java/io/radishspindle/protocol/message/PoolMessages.java
+++ b/library/src/main/java/io/radishspindle/protocol/message/PoolMessages.java
@@ -55,12 +55,12 @@
      *
      * @param operation name of the call
      * @param key key, prefix or lease
-     * @param number lease, time to live, or the revision after which to watch, as the call needs it
+     * @param argument lease, time to live, or the revision after which to watch, as the call needs it
      */
     public record RelayStore(
             String operation,
             String key,
-            long number,
+            long argument,
             Map<String, Long> expected,
             List<RelayedItem> writes,
             List<String> removals)
--- a/library/src/main/java/io/radishspindle/protocol/message/RelayDigest.java
+++ b/library/src/main/java/io/radishspindle/protocol/message/RelayDigest.java
@@ -14,7 +14,7 @@
  * @param sequence increases with each digest of the relay to the same VM
  * @param ackedIncarnation incarnation of the receiver whose digests the relay has seen; 0 for none
  * @param ackedSequence highest sequence received from the receiver in that incarnation
- * @param passedOn sent by a VM of the receiver's data centre, not by the relay itself
+ * @param forwarded sent by a VM of the receiver's data centre, not by the relay itself
  * @param members VMs whose state the receiver has not acknowledged yet; the others are unchanged
  */
 public record RelayDigest(
@@ -24,6 +24,6 @@
         long sequence,
         long ackedIncarnation,
         long ackedSequence,
-        boolean passedOn,
+        boolean forwarded,
         List<MemberState> members)
         implements PeerMessage {}
