--- a/library/src/main/java/io/radishspindle/error/ErrorCode.java
+++ b/library/src/main/java/io/radishspindle/error/ErrorCode.java
@@ -1,6 +1,6 @@
 package io.radishspindle.error;
 
-/** Stable codes of errors, as shown to callers and operators. */
+/** Error codes, reported to callers and operators; part of the public API, so a code is never renamed. */
 public enum ErrorCode {
     INVALID_REQUEST,
     NOT_FOUND,
--- a/library/src/main/java/io/radishspindle/error/Failure.java
+++ b/library/src/main/java/io/radishspindle/error/Failure.java
@@ -5,13 +5,13 @@
  *
  * <p>Invariant: {@code notRun} is true only if it is certain that the request or change had no effect.
  *
- * @param step what was being done, for example {@code store.put}
+ * @param step operation that failed, for example {@code store.put}
  * @param peer the other side, for example {@code store 127.0.0.1:7000}; empty if none was involved
  * @param retryAfterMs milliseconds after which a retry may succeed; 0 if a retry is pointless
  */
 public record Failure(ErrorCode code, String step, String peer, String message, boolean notRun, long retryAfterMs) {
 
-    /** A failure without any effect, which a retry can't mend. */
+    /** A failure without any effect, for which a retry is pointless. */
     public static Failure rejected(ErrorCode code, String step, String message) {
         return new Failure(code, step, "", message, true, 0);
     }
--- a/library/src/main/java/io/radishspindle/error/package-info.java
+++ b/library/src/main/java/io/radishspindle/error/package-info.java
@@ -1,3 +1,3 @@
-/** Errors as values; each carries the step and the peer at which it arose. */
+/** Errors as values; each carries the operation and the peer that failed. */
 @org.jspecify.annotations.NullMarked
 package io.radishspindle.error;
--- a/library/src/main/java/io/radishspindle/protocol/FrameReader.java
+++ b/library/src/main/java/io/radishspindle/protocol/FrameReader.java
@@ -6,8 +6,8 @@
 import java.util.function.Consumer;
 
 /**
- * Splits the bytes of a socket into frames. A frame above the limit is refused by its length, before its bytes are
- * buffered. Belongs to the socket's event loop.
+ * Splits the bytes of a socket into frames. A frame above the limit is rejected when its length prefix arrives,
+ * before its bytes are buffered. Confined to the socket's event loop.
  */
 final class FrameReader {
     private final RecordParser parser = RecordParser.newFixed(PeerCodec.LENGTH_BYTES);
@@ -24,8 +24,8 @@
         socket.handler(parser);
     }
 
-    /** Admits frames of full size; called once the peer is authenticated. */
-    void allowFullSize() {
+    /** Raises the size limit from handshake frames to full frames; called once the peer is authenticated. */
+    void allowFullSizeFrames() {
         maxBytes = PeerCodec.MAX_FRAME_BYTES;
     }
 
@@ -42,7 +42,7 @@
         } catch (ProtocolException e) {
             stop(e);
         } catch (RuntimeException e) {
-            // A frame that decodes but lacks a field, for example a null id, must not reach the event loop as an error.
+            // A frame that decodes but lacks a field, for example a null id, must not throw into the event loop.
             stop(new ProtocolException("frame can't be handled: " + e, e));
         }
     }
@@ -67,7 +67,7 @@
         Frame frame = PeerCodec.decode(bytes, Frame.class);
         if (frame.version() != Frame.VERSION) {
             throw new ProtocolException(
-                    "peer speaks version " + frame.version() + " of the protocol, this VM version " + Frame.VERSION);
+                    "peer uses protocol version " + frame.version() + ", this VM uses version " + Frame.VERSION);
         }
         onFrame.accept(frame);
     }
--- a/library/src/main/java/io/radishspindle/protocol/PeerAuthenticator.java
+++ b/library/src/main/java/io/radishspindle/protocol/PeerAuthenticator.java
@@ -8,8 +8,8 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Mutual challenge with HMAC-SHA256. The code covers the role, both VM ids and both nonces, so that it can be neither
- * replayed, nor reflected to its sender, nor passed on to another VM. Thread-safe.
+ * Mutual challenge-response authentication with HMAC-SHA256. An authentication code covers the role, both VM ids and
+ * both nonces, so that it can't be replayed, reflected to its sender or relayed to another VM. Thread-safe.
  */
 final class PeerAuthenticator {
     private static final String ALGORITHM = "HmacSHA256";
@@ -18,13 +18,16 @@
     private final SecretKeySpec key;
     private final SecureRandom random = new SecureRandom();
 
-    /** Which side computes a code. */
+    /** Side of the connection that computes a code. */
     enum Role {
         CONNECTING,
         ACCEPTING
     }
 
-    /** What both sides know after the nonces are exchanged. Immutable by convention; the arrays are not copied. */
+    /**
+     * Input of the authentication codes, known to both sides once the nonces are exchanged. Immutable by convention; the
+     * arrays are not copied.
+     */
     record Challenge(String connectingVm, byte[] connectingNonce, String acceptingVm, byte[] acceptingNonce) {
         Challenge {
             if (connectingNonce.length != NONCE_BYTES || acceptingNonce.length != NONCE_BYTES) {
@@ -37,17 +40,17 @@
         key = new SecretKeySpec(sharedKey.getBytes(StandardCharsets.UTF_8), ALGORITHM);
     }
 
-    byte[] nonce() {
+    byte[] newNonce() {
         byte[] nonce = new byte[NONCE_BYTES];
         random.nextBytes(nonce);
         return nonce;
     }
 
-    byte[] code(Role role, Challenge challenge) {
+    byte[] codeFor(Role role, Challenge challenge) {
         try {
             Mac mac = Mac.getInstance(ALGORITHM);
             mac.init(key);
-            // MessagePack keeps the boundaries between the parts, so that no two challenges share their bytes.
+            // MessagePack keeps the boundaries between the parts, so that no two challenges have the same encoding.
             mac.update(PeerCodec.encode(role.name()));
             return mac.doFinal(PeerCodec.encode(challenge));
         } catch (GeneralSecurityException e) {
@@ -56,6 +59,6 @@
     }
 
     boolean matches(Role role, Challenge challenge, byte[] code) {
-        return MessageDigest.isEqual(code(role, challenge), code);
+        return MessageDigest.isEqual(codeFor(role, challenge), code);
     }
 }
--- a/library/src/main/java/io/radishspindle/protocol/PeerCodec.java
+++ b/library/src/main/java/io/radishspindle/protocol/PeerCodec.java
@@ -19,14 +19,14 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * Encodes frames and messages as MessagePack with records as arrays. Fields are only ever added at the end of a
- * record: an older reader skips them, and a newer reader gets null or zero. Thread-safe.
+ * Encodes frames and messages as MessagePack, with records as arrays. New fields go only to the end of a record: an
+ * older reader skips them, and a newer reader of an older record sees null or zero. Thread-safe.
  */
 public final class PeerCodec {
-    /** Largest frame after the handshake, without the length prefix. */
+    /** Largest frame after the handshake, in bytes without the length prefix. */
     static final int MAX_FRAME_BYTES = 1024 * 1024;
 
-    /** Largest frame of the handshake, so that an unknown peer can't make a VM buffer much. */
+    /** Largest frame during the handshake, in bytes; limits what an unauthenticated peer can make a VM buffer. */
     static final int MAX_HANDSHAKE_BYTES = 4096;
 
     static final int LENGTH_BYTES = 4;
@@ -62,7 +62,7 @@
                 .appendBytes(frame);
     }
 
-    /** Bytes that a message takes on a connection, TCP and IP headers excluded. */
+    /** Size of a message on a connection in bytes, TCP and IP headers excluded. */
     public static int encodedSize(PeerMessage message) {
         return encodeMessage(0, message).length();
     }
@@ -75,7 +75,7 @@
         }
     }
 
-    /** Decodes a value; throws {@link ProtocolException} if the bytes are not one. */
+    /** Decodes a value; throws {@link ProtocolException} if the bytes are not exactly one value of the type. */
     static <T> T decode(byte[] bytes, Class<T> type) {
         checkStructure(bytes, type);
         try {
@@ -90,8 +90,8 @@
     }
 
     /**
-     * Walks over the value without reading it. The parser allocates what a length field says before it looks for the
-     * bytes, so a frame of a few bytes could otherwise exhaust the memory.
+     * Skips over the value to check its lengths. The parser allocates as much as a length field states before it checks
+     * that the bytes are present, so a frame of a few bytes could otherwise exhaust the heap.
      */
     private static void checkStructure(byte[] bytes, Class<?> type) {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
@@ -114,7 +114,7 @@
         return Map.copyOf(codes);
     }
 
-    /** Writes every record as an array, which needs no names on the wire. Stateless. */
+    /** Writes every record as an array, so that component names are not transmitted. Stateless. */
     private static final class RecordsAsArrays extends JacksonAnnotationIntrospector {
         private static final long serialVersionUID = 1L;
 
--- a/library/src/main/java/io/radishspindle/protocol/PeerConnection.java
+++ b/library/src/main/java/io/radishspindle/protocol/PeerConnection.java
@@ -13,20 +13,20 @@
 import org.tinylog.Logger;
 
 /**
- * One TCP connection to another entry VM, from the handshake to the end. Belongs to one event loop.
+ * One TCP connection to another entry VM, from the handshake until it is closed. Confined to one event loop.
  *
- * <p>Invariant: no message passes in either direction before both sides have proved that they know the shared key.
+ * <p>Invariant: no message is sent or accepted before both sides have proved that they know the shared key.
  */
 final class PeerConnection {
-    /** A peer that has not completed the handshake after this time is disconnected. */
+    /** A connection whose handshake is not complete after this time is closed. */
     private static final long HANDSHAKE_TIMEOUT_MS = 2_000;
-    /** Writes above this limit are refused, so that a slow peer can't exhaust the memory. */
+    /** Writes beyond this backlog fail, so that a slow peer can't exhaust the heap. */
     private static final int WRITE_QUEUE_BYTES = 4 * PeerCodec.MAX_FRAME_BYTES;
 
-    /** Silence after which a connection is pinged; after twice this time it is closed. */
+    /** Time without received frames after which a connection is pinged; after twice this time it is closed. */
     private static final long PING_AFTER_MS = 5_000;
 
-    /** What the messenger learns of a connection. */
+    /** Receives the events of a connection. */
     interface Listener {
         void onReady(PeerConnection connection);
 
@@ -71,13 +71,13 @@
         this.remoteVm = remoteVm;
         this.listener = listener;
         role = remoteVm.isEmpty() ? Role.ACCEPTING : Role.CONNECTING;
-        nonce = authenticator.nonce();
+        nonce = authenticator.newNonce();
         lastReceivedAtMs = clock.nowMs();
         reader = new FrameReader(socket, this::onFrame, this::onProtocolError);
         socket.setWriteQueueMaxSize(WRITE_QUEUE_BYTES);
         socket.exceptionHandler(e -> closeReason = "connection broken: " + e.getMessage());
         socket.closeHandler(ignored -> onClosed());
-        handshakeTimer = vertx.setTimer(HANDSHAKE_TIMEOUT_MS, ignored -> close("handshake took too long"));
+        handshakeTimer = vertx.setTimer(HANDSHAKE_TIMEOUT_MS, ignored -> close("handshake timed out"));
         if (role == Role.ACCEPTING) {
             write(PeerCodec.encodeFrame(Frame.HELLO, new Frame.Hello(localVm, nonce)));
         }
@@ -91,7 +91,7 @@
         return String.valueOf(socket.remoteAddress());
     }
 
-    /** Writes a frame; false if nothing was written because the connection is closed or the peer reads too slowly. */
+    /** Writes a frame; false without a write if the connection is closed or the peer reads too slowly. */
     boolean write(Buffer frame) {
         if (closed || socket.writeQueueFull()) {
             return false;
@@ -100,10 +100,10 @@
         return true;
     }
 
-    /** Tells the peer why, then closes. */
-    void refuse(ErrorCode code, String reason) {
+    /** Sends the reason to the peer and closes the connection. */
+    void reject(ErrorCode code, String reason) {
         Failure failure = new Failure(code, "peer.connect", localVm, reason, true, 0);
-        write(PeerCodec.encodeFrame(Frame.FAILURE, new Frame.Refusal(failure)));
+        write(PeerCodec.encodeFrame(Frame.CONNECTION_REJECTED, new Frame.FailureReport(failure)));
         close(reason);
     }
 
@@ -124,7 +124,7 @@
 
     private void onProtocolError(ProtocolException e) {
         Logger.warn("event=protocol-error peer={} address={} reason=\"{}\"", remoteVm, address(), e.getMessage());
-        refuse(ErrorCode.PROTOCOL_ERROR, String.valueOf(e.getMessage()));
+        reject(ErrorCode.PROTOCOL_ERROR, String.valueOf(e.getMessage()));
     }
 
     private void onFrame(Frame frame) {
@@ -144,9 +144,9 @@
             case Frame.HELLO -> onHello(PeerCodec.decode(frame.body(), Frame.Hello.class));
             case Frame.PROOF -> onProof(PeerCodec.decode(frame.body(), Frame.Proof.class));
             case Frame.ACCEPTED -> onAccepted(PeerCodec.decode(frame.body(), Frame.Accepted.class));
-            case Frame.FAILURE ->
-                close("peer refused: "
-                        + PeerCodec.decode(frame.body(), Frame.Refusal.class)
+            case Frame.CONNECTION_REJECTED ->
+                close("rejected by peer: "
+                        + PeerCodec.decode(frame.body(), Frame.FailureReport.class)
                                 .failure()
                                 .message());
             default -> throw new ProtocolException("frame of type " + frame.type() + " before the handshake");
@@ -154,55 +154,55 @@
     }
 
     private void onHello(Frame.Hello hello) {
-        requireStep(role == Role.CONNECTING && challenge == null);
+        requireInOrder(role == Role.CONNECTING && challenge == null);
         if (!hello.vm().equals(remoteVm)) {
             throw new ProtocolException("expected VM " + remoteVm + ", found " + hello.vm());
         }
-        Challenge mine = new Challenge(localVm, nonce, remoteVm, hello.nonce());
-        challenge = mine;
-        byte[] code = authenticator.code(Role.CONNECTING, mine);
+        Challenge ours = new Challenge(localVm, nonce, remoteVm, hello.nonce());
+        challenge = ours;
+        byte[] code = authenticator.codeFor(Role.CONNECTING, ours);
         write(PeerCodec.encodeFrame(Frame.PROOF, new Frame.Proof(localVm, nonce, code)));
     }
 
     private void onProof(Frame.Proof proof) {
-        requireStep(role == Role.ACCEPTING && challenge == null);
-        requireStep(!proof.vm().equals(localVm));
+        requireInOrder(role == Role.ACCEPTING && challenge == null);
+        requireInOrder(!proof.vm().equals(localVm));
         Challenge theirs = new Challenge(proof.vm(), proof.nonce(), localVm, nonce);
         if (!authenticator.matches(Role.CONNECTING, theirs, proof.code())) {
             throw new ProtocolException("VM " + proof.vm() + " does not know the shared key");
         }
         challenge = theirs;
         remoteVm = proof.vm();
-        byte[] code = authenticator.code(Role.ACCEPTING, theirs);
+        byte[] code = authenticator.codeFor(Role.ACCEPTING, theirs);
         write(PeerCodec.encodeFrame(Frame.ACCEPTED, new Frame.Accepted(code)));
         becomeReady();
     }
 
     private void onAccepted(Frame.Accepted accepted) {
-        Challenge mine = challenge;
-        if (role != Role.CONNECTING || mine == null || ready) {
+        Challenge ours = challenge;
+        if (role != Role.CONNECTING || ours == null || ready) {
             throw new ProtocolException("handshake out of order");
         }
-        if (!authenticator.matches(Role.ACCEPTING, mine, accepted.code())) {
+        if (!authenticator.matches(Role.ACCEPTING, ours, accepted.code())) {
             throw new ProtocolException("VM " + remoteVm + " does not know the shared key");
         }
         becomeReady();
     }
 
     /**
-     * Pings a silent connection and closes it if it stays silent. A partition that drops packets breaks no connection
-     * by itself, and TCP would retransmit for many minutes.
+     * Pings an idle connection and closes it if the peer stays unresponsive. A partition that drops packets does not
+     * close a connection by itself: TCP would retransmit for many minutes.
      */
     void checkIdle(long nowMs) {
-        long silentMs = nowMs - lastReceivedAtMs;
-        if (silentMs >= 2 * PING_AFTER_MS) {
-            close("no answer for " + silentMs + " ms");
-        } else if (ready && silentMs >= PING_AFTER_MS) {
+        long idleMs = nowMs - lastReceivedAtMs;
+        if (idleMs >= 2 * PING_AFTER_MS) {
+            close("nothing received for " + idleMs + " ms");
+        } else if (ready && idleMs >= PING_AFTER_MS) {
             write(PeerCodec.encodeFrame(Frame.PING, new Frame.Ping(++pingSequence)));
         }
     }
 
-    private static void requireStep(boolean inOrder) {
+    private static void requireInOrder(boolean inOrder) {
         if (!inOrder) {
             throw new ProtocolException("handshake out of order");
         }
@@ -210,7 +210,7 @@
 
     private void becomeReady() {
         ready = true;
-        reader.allowFullSize();
+        reader.allowFullSizeFrames();
         vertx.cancelTimer(handshakeTimer);
         listener.onReady(this);
     }
--- a/library/src/main/java/io/radishspindle/protocol/PeerLink.java
+++ b/library/src/main/java/io/radishspindle/protocol/PeerLink.java
@@ -20,20 +20,20 @@
 import org.tinylog.Logger;
 
 /**
- * The outgoing side to one peer: at most one connection, dialled on demand, and the requests that wait for an answer.
- * Belongs to the messenger's event loop.
+ * The outgoing side to one peer: at most one connection, opened on demand, and the requests that await a reply.
+ * Confined to the messenger's event loop.
  *
- * <p>Invariant: each request ends exactly once, by its answer, its timeout, or the end of its connection.
+ * <p>Invariant: each request completes exactly once: by its reply, its timeout or the loss of its connection.
  */
 final class PeerLink implements PeerConnection.Listener {
     static final int MAX_OUTSTANDING = 1_024;
-    /** Messages that wait until a connection is ready; more are refused. */
-    static final int MAX_WAITING = 64;
+    /** Messages that may be queued until the connection is ready; further ones fail. */
+    static final int MAX_QUEUED = 64;
 
     private static final long FIRST_BACK_OFF_MS = 100;
     private static final long MAX_BACK_OFF_MS = 5_000;
 
-    /** A request whose answer is awaited. */
+    /** A request that awaits its reply. */
     private static final class Outstanding {
         final Class<? extends PeerMessage> replyType;
         final Promise<Either<Failure, PeerMessage>> promise;
@@ -47,8 +47,8 @@
         }
     }
 
-    /** A frame that waits for the connection; id 0 if it needs no answer. */
-    private record Waiting(long id, Buffer frame) {}
+    /** A frame queued until the connection is ready; id 0 for a one-way message. */
+    private record QueuedFrame(long id, Buffer frame) {}
 
     private enum State {
         IDLE,
@@ -62,7 +62,7 @@
     private final BiConsumer<PeerLink, Integer> dialler;
     private final ToLongFunction<Long> jitter;
     private final Map<Long, Outstanding> outstanding = new LinkedHashMap<>();
-    private final Deque<Waiting> waiting = new ArrayDeque<>();
+    private final Deque<QueuedFrame> queued = new ArrayDeque<>();
     private State state = State.IDLE;
     private @Nullable PeerConnection connection;
     private long nextDialAtMs = Long.MIN_VALUE;
@@ -70,8 +70,8 @@
     private int dials;
 
     /**
-     * @param dialler starts a connection; its number tells a late result from a current one
-     * @param jitter a random time up to its argument, so that VMs don't redial a restarted peer all at once
+     * @param dialler opens a connection; the dial number distinguishes a current result from a late one
+     * @param jitter returns a random time up to its argument, so that VMs don't all redial a restarted peer at once
      */
     PeerLink(
             Vertx vertx, Clock clock, String peer, BiConsumer<PeerLink, Integer> dialler, ToLongFunction<Long> jitter) {
@@ -97,17 +97,17 @@
             long timeoutMs,
             Promise<Either<Failure, PeerMessage>> promise) {
         if (outstanding.size() >= MAX_OUTSTANDING) {
-            String message = MAX_OUTSTANDING + " requests to the peer wait for an answer";
+            String message = MAX_OUTSTANDING + " requests to the peer are outstanding";
             promise.complete(Either.left(
                     Failure.retryable(ErrorCode.OVERLOADED, "peer.request", peer, message, FIRST_BACK_OFF_MS)));
             return;
         }
         long timer = vertx.setTimer(Math.max(1, timeoutMs), ignored -> onTimeout(id, timeoutMs));
         outstanding.put(id, new Outstanding(replyType, promise, timer));
-        submit(id, frame).ifPresent(failure -> end(id, Either.left(failure)));
+        submit(id, frame).ifPresent(failure -> complete(id, Either.left(failure)));
     }
 
-    /** Sends a frame or lets it wait for the connection; yields the failure if neither is possible. */
+    /** Sends a frame, or queues it until the connection is ready; returns the failure if neither is possible. */
     private Optional<Failure> submit(long id, Buffer frame) {
         if (state == State.READY) {
             return write(id, frame);
@@ -115,10 +115,10 @@
         if (state == State.IDLE && clock.nowMs() < nextDialAtMs) {
             return Optional.of(unreachable("not connected", nextDialAtMs - clock.nowMs()));
         }
-        if (waiting.size() >= MAX_WAITING) {
-            return Optional.of(unreachable("connecting; too many messages wait", FIRST_BACK_OFF_MS));
+        if (queued.size() >= MAX_QUEUED) {
+            return Optional.of(unreachable("connecting; too many messages are queued", FIRST_BACK_OFF_MS));
         }
-        waiting.add(new Waiting(id, frame));
+        queued.add(new QueuedFrame(id, frame));
         if (state == State.IDLE) {
             state = State.CONNECTING;
             dialler.accept(this, ++dials);
@@ -142,8 +142,8 @@
         return Failure.retryable(ErrorCode.PEER_UNREACHABLE, "peer.request", peer, reason, Math.max(1, retryAfterMs));
     }
 
-    /** Takes a new connection, which still has to complete its handshake; false if it is no longer wanted. */
-    boolean connected(int dial, PeerConnection opened) {
+    /** Adopts a new connection, which still has to complete its handshake; false if it is no longer needed. */
+    boolean onConnected(int dial, PeerConnection opened) {
         if (dial != dials || state != State.CONNECTING) {
             return false;
         }
@@ -151,9 +151,9 @@
         return true;
     }
 
-    void dialFailed(int dial, String reason) {
+    void onDialFailed(int dial, String reason) {
         if (dial == dials && state == State.CONNECTING) {
-            disconnected(reason);
+            onDisconnected(reason);
         }
     }
 
@@ -165,10 +165,10 @@
         state = State.READY;
         backOffMs = FIRST_BACK_OFF_MS;
         Logger.info("event=peer-connected peer={} address={}", peer, ready.address());
-        while (!waiting.isEmpty()) {
-            Waiting next = waiting.remove();
+        while (!queued.isEmpty()) {
+            QueuedFrame next = queued.remove();
             if (next.id() == 0 || outstanding.containsKey(next.id())) {
-                write(next.id(), next.frame()).ifPresent(failure -> end(next.id(), Either.left(failure)));
+                write(next.id(), next.frame()).ifPresent(failure -> complete(next.id(), Either.left(failure)));
             }
         }
     }
@@ -176,22 +176,22 @@
     @Override
     public void onClosed(PeerConnection closed, String reason) {
         if (closed == connection) {
-            disconnected(reason);
+            onDisconnected(reason);
         }
     }
 
-    private void disconnected(String reason) {
+    private void onDisconnected(String reason) {
         state = State.IDLE;
         connection = null;
         dials++;
         nextDialAtMs = clock.nowMs() + backOffMs / 2 + jitter.applyAsLong(backOffMs / 2);
         Logger.info("event=peer-disconnected peer={} reason=\"{}\" back_off_ms={}", peer, reason, backOffMs);
         backOffMs = Math.min(2 * backOffMs, MAX_BACK_OFF_MS);
-        waiting.clear();
+        queued.clear();
         for (long id : List.copyOf(outstanding.keySet())) {
             Outstanding request = outstanding.get(id);
             boolean written = request != null && request.written;
-            end(
+            complete(
                     id,
                     Either.left(
                             written ? Failure.outcomeUnknown("peer.request", peer, reason) : unreachable(reason, 1)));
@@ -201,23 +201,23 @@
     @Override
     public void onMessage(PeerConnection from, int type, Envelope envelope) {
         if (from != connection || envelope.id() >= 0) {
-            throw new ProtocolException("request on a connection that carries only answers");
+            throw new ProtocolException("request on a connection that carries only replies");
         }
         long id = -envelope.id();
         Outstanding request = outstanding.get(id);
         if (request == null) {
-            return; // The answer came after the timeout.
+            return; // The reply arrived after the timeout.
         }
-        if (type == Frame.FAILED) {
-            end(
+        if (type == Frame.REQUEST_FAILED) {
+            complete(
                     id,
-                    Either.left(PeerCodec.decode(envelope.message(), Frame.Refusal.class)
+                    Either.left(PeerCodec.decode(envelope.message(), Frame.FailureReport.class)
                             .failure()));
         } else if (type == PeerCodec.code(request.replyType)) {
-            end(id, Either.right(PeerCodec.decode(envelope.message(), request.replyType)));
+            complete(id, Either.right(PeerCodec.decode(envelope.message(), request.replyType)));
         } else {
             throw new ProtocolException(
-                    "answer of type " + type + " to a request that expects " + request.replyType.getSimpleName());
+                    "reply of type " + type + " to a request that expects " + request.replyType.getSimpleName());
         }
     }
 
@@ -226,13 +226,13 @@
         if (request == null) {
             return;
         }
-        String message = "no answer within " + timeoutMs + " ms";
+        String message = "no reply within " + timeoutMs + " ms";
         Failure failure =
                 request.written ? Failure.outcomeUnknown("peer.request", peer, message) : unreachable(message, 1);
-        end(id, Either.left(failure));
+        complete(id, Either.left(failure));
     }
 
-    private void end(long id, Either<Failure, PeerMessage> result) {
+    private void complete(long id, Either<Failure, PeerMessage> result) {
         Outstanding request = outstanding.remove(id);
         if (request != null) {
             vertx.cancelTimer(request.timer);
@@ -252,7 +252,7 @@
         if (current != null) {
             current.close(reason);
         } else if (state == State.CONNECTING) {
-            disconnected(reason);
+            onDisconnected(reason);
         }
     }
 }
--- a/library/src/main/java/io/radishspindle/protocol/PeerListener.java
+++ b/library/src/main/java/io/radishspindle/protocol/PeerListener.java
@@ -18,20 +18,21 @@
 import org.tinylog.Logger;
 
 /**
- * The incoming side: connections that other VMs opened, and the handlers of their messages. Belongs to the
+ * The incoming side: connections that other VMs opened, and the handlers of their messages. Confined to the
  * messenger's event loop.
  *
- * <p>Invariants: at most one authenticated connection per VM; at most {@link #MAX_UNAUTHENTICATED} others.
+ * <p>Invariants: at most one authenticated connection per VM; at most {@link #MAX_UNAUTHENTICATED} without
+ * a completed handshake.
  */
 final class PeerListener implements PeerConnection.Listener {
     /**
-     * A genuine handshake takes milliseconds, so the oldest unfinished one makes room for a new connection. Otherwise
-     * connections that stay silent could keep peers out.
+     * When the limit is reached, a new connection replaces the oldest one whose handshake is not complete, as a genuine
+     * handshake takes milliseconds. Otherwise idle connections could lock peers out.
      */
     static final int MAX_UNAUTHENTICATED = 64;
-    /** Far above the two-year size of 28 entry VMs. */
+    /** Far above the 28 entry VMs to which a deployment is expected to grow in two years. */
     static final int MAX_AUTHENTICATED = 512;
-    /** Requests of one connection that are being handled; further ones are refused. */
+    /** Requests of one connection that may be in progress; further ones are rejected. */
     static final int MAX_IN_PROGRESS = 2 * PeerLink.MAX_OUTSTANDING;
 
     private final Vertx vertx;
@@ -77,7 +78,7 @@
         unauthenticated.remove(connection);
         PeerConnection previous = byVm.get(connection.remoteVm());
         if (previous == null && byVm.size() >= MAX_AUTHENTICATED) {
-            connection.refuse(ErrorCode.OVERLOADED, "VM has " + MAX_AUTHENTICATED + " peers, which is its limit");
+            connection.reject(ErrorCode.OVERLOADED, "VM has " + MAX_AUTHENTICATED + " peers, which is the limit");
             return;
         }
         byVm.put(connection.remoteVm(), connection);
@@ -98,50 +99,50 @@
     @Override
     public void onMessage(PeerConnection from, int type, Envelope envelope) {
         if (envelope.id() < 0) {
-            throw new ProtocolException("answer on a connection that carries only requests");
+            throw new ProtocolException("reply on a connection that carries only requests");
         }
         long id = envelope.id();
         Class<? extends PeerMessage> messageType = MessageTypes.BY_CODE.get(type);
         if (messageType == null) {
-            reply(from, id, refused("message type " + type + " is unknown to this VM"));
+            reply(from, id, rejected("message type " + type + " is unknown to this VM"));
             return;
         }
         PeerMessage message = PeerCodec.decode(envelope.message(), messageType);
         PeerMessenger.Handler<? extends PeerMessage> handler = handlers.get(type);
         if (handler == null) {
-            reply(from, id, refused("this VM does not handle " + messageType.getSimpleName()));
+            reply(from, id, rejected("this VM does not handle " + messageType.getSimpleName()));
             return;
         }
-        int running = inProgress.merge(from, 1, Integer::sum);
-        if (running > MAX_IN_PROGRESS) {
+        int nowInProgress = inProgress.merge(from, 1, Integer::sum);
+        if (nowInProgress > MAX_IN_PROGRESS) {
             inProgress.merge(from, -1, Integer::sum);
             String reason = MAX_IN_PROGRESS + " requests of this peer are in progress";
             reply(from, id, Either.left(Failure.retryable(ErrorCode.OVERLOADED, "peer.handle", localVm, reason, 100)));
             return;
         }
-        call(handler, from.remoteVm(), message).onComplete(result -> {
+        invoke(handler, from.remoteVm(), message).onComplete(result -> {
             inProgress.computeIfPresent(from, (connection, count) -> count - 1);
-            reply(from, id, result.succeeded() ? result.result() : Either.left(crashed(result.cause())));
+            reply(from, id, result.succeeded() ? result.result() : Either.left(handlerFailed(result.cause())));
         });
     }
 
     @SuppressWarnings("unchecked")
-    private Future<Either<Failure, PeerMessage>> call(
+    private Future<Either<Failure, PeerMessage>> invoke(
             PeerMessenger.Handler<? extends PeerMessage> handler, String fromVm, PeerMessage message) {
         try {
-            // register() ties the handler to the code of its message type.
+            // Unchecked but safe: register() stores each handler under the code of its own message type.
             return ((PeerMessenger.Handler<PeerMessage>) handler).handle(fromVm, message);
         } catch (RuntimeException e) {
-            return Future.succeededFuture(Either.left(crashed(e)));
+            return Future.succeededFuture(Either.left(handlerFailed(e)));
         }
     }
 
-    private Failure crashed(@Nullable Throwable e) {
+    private Failure handlerFailed(@Nullable Throwable e) {
         Logger.error(e, "event=handler-failed");
         return new Failure(ErrorCode.INTERNAL, "peer.handle", localVm, "handler failed: " + e, false, 0);
     }
 
-    private Either<Failure, PeerMessage> refused(String reason) {
+    private Either<Failure, PeerMessage> rejected(String reason) {
         return Either.left(new Failure(ErrorCode.PROTOCOL_ERROR, "peer.handle", localVm, reason, true, 0));
     }
 
@@ -149,22 +150,23 @@
         if (id == 0) {
             return;
         }
-        Buffer frame = result.fold(failure -> failed(id, failure), message -> PeerCodec.encodeMessage(-id, message));
+        Buffer frame =
+                result.fold(failure -> encodeFailure(id, failure), message -> PeerCodec.encodeMessage(-id, message));
         if (frame.length() > PeerCodec.MAX_FRAME_BYTES + PeerCodec.LENGTH_BYTES) {
-            String reason = "answer of " + frame.length() + " bytes is too large for a frame";
-            frame = failed(id, new Failure(ErrorCode.INTERNAL, "peer.handle", localVm, reason, false, 0));
+            String reason = "reply of " + frame.length() + " bytes is too large for a frame";
+            frame = encodeFailure(id, new Failure(ErrorCode.INTERNAL, "peer.handle", localVm, reason, false, 0));
         }
         if (!to.write(frame)) {
-            to.close("peer reads its answers too slowly");
+            to.close("peer reads its replies too slowly");
         }
     }
 
-    private static Buffer failed(long id, Failure failure) {
-        byte[] message = PeerCodec.encode(new Frame.Refusal(failure));
-        return PeerCodec.encodeFrame(Frame.FAILED, new Envelope(-id, message));
+    private static Buffer encodeFailure(long id, Failure failure) {
+        byte[] message = PeerCodec.encode(new Frame.FailureReport(failure));
+        return PeerCodec.encodeFrame(Frame.REQUEST_FAILED, new Envelope(-id, message));
     }
 
-    int connections() {
+    int connectionCount() {
         return unauthenticated.size() + byVm.size();
     }
 }
--- a/library/src/main/java/io/radishspindle/protocol/PeerMessenger.java
+++ b/library/src/main/java/io/radishspindle/protocol/PeerMessenger.java
@@ -5,11 +5,11 @@
 import io.vertx.core.Future;
 
 /**
- * Sends and receives messages between entry VMs. Implementations belong to one event loop. The returned futures never
- * fail.
+ * Sends and receives messages between entry VMs. Implementations are confined to one event loop. The returned futures
+ * never fail.
  */
 public interface PeerMessenger {
-    /** Answers requests of one type. */
+    /** Handles messages of one type and returns the reply. */
     @FunctionalInterface
     interface Handler<T extends PeerMessage> {
         Future<Either<Failure, PeerMessage>> handle(String fromVm, T message);
@@ -19,12 +19,12 @@
     <T extends PeerMessage> void handle(Class<T> type, Handler<T> handler);
 
     /**
-     * Sends a request and waits for its answer. A failure with {@code notRun} true means that the message was not
-     * sent; a failure of the remote handler is passed on as it is.
+     * Sends a request and returns its reply. A failure of this side has {@code notRun} true only if the message was
+     * not sent; a failure of the remote handler is returned unchanged.
      */
     <R extends PeerMessage> Future<Either<Failure, R>> request(
             String toVm, PeerMessage message, Class<R> replyType, long timeoutMs);
 
-    /** Sends a message without an answer; it may be lost. */
+    /** Sends a one-way message; it may be lost. */
     void send(String toVm, PeerMessage message);
 }
--- a/library/src/main/java/io/radishspindle/protocol/ProtocolException.java
+++ b/library/src/main/java/io/radishspindle/protocol/ProtocolException.java
@@ -1,6 +1,6 @@
 package io.radishspindle.protocol;
 
-/** Bytes of a peer that break the protocol; the connection is closed. Immutable and thread-safe. */
+/** Thrown for bytes of a peer that violate the protocol; the connection is then closed. Immutable and thread-safe. */
 final class ProtocolException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/library/src/main/java/io/radishspindle/protocol/TcpPeerMessenger.java
+++ b/library/src/main/java/io/radishspindle/protocol/TcpPeerMessenger.java
@@ -23,10 +23,10 @@
 
 /**
  * Messages between entry VMs over TCP. Each VM sends its requests and one-way messages over a connection that it
- * opens itself; answers return on the same connection.
+ * opens itself; replies return on the same connection.
  *
  * <p>All state belongs to the event loop of the context in which the messenger was created. Calls from other threads
- * are passed on to it, so the class is thread-safe; completions and handlers run on that event loop.
+ * are handed over to it, so the class is thread-safe; completions and handlers run on that event loop.
  */
 public final class TcpPeerMessenger implements PeerMessenger {
     private static final int CONNECT_TIMEOUT_MS = 2_000;
@@ -51,7 +51,7 @@
 
     /**
      * @param port TCP port to listen on; 0 for a free one
-     * @param sharedKey key that all entry VMs of the cell share
+     * @param sharedKey key that all entry VMs of the deployment share
      */
     public TcpPeerMessenger(
             Vertx vertx,
@@ -76,7 +76,7 @@
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(localVm.hashCode());
     }
 
-    /** Starts to listen; fails if the port is taken. */
+    /** Starts to listen; fails if the port is in use. */
     public Future<Void> start() {
         Promise<Void> started = Promise.promise();
         onLoop(() -> {
@@ -92,7 +92,7 @@
         return server.actualPort();
     }
 
-    /** Closes the listener and all connections; requests without an answer end with a failure. */
+    /** Closes the listener and all connections; outstanding requests complete with a failure. */
     public Future<Void> close() {
         Promise<Void> done = Promise.promise();
         onLoop(() -> {
@@ -165,17 +165,17 @@
     private void dial(PeerLink link, int dial) {
         Optional<PeerDirectory.PeerAddress> address = directory.addressOf(link.peer());
         if (address.isEmpty()) {
-            link.dialFailed(dial, "no address is known for VM " + link.peer());
+            link.onDialFailed(dial, "no address is known for VM " + link.peer());
             return;
         }
         client.connect(address.get().port(), address.get().host())
-                .onSuccess(socket -> connected(link, dial, socket))
-                .onFailure(e -> link.dialFailed(dial, "can't connect: " + e.getMessage()));
+                .onSuccess(socket -> onConnected(link, dial, socket))
+                .onFailure(e -> link.onDialFailed(dial, "can't connect: " + e.getMessage()));
     }
 
-    private void connected(PeerLink link, int dial, NetSocket socket) {
+    private void onConnected(PeerLink link, int dial, NetSocket socket) {
         PeerConnection connection = new PeerConnection(vertx, clock, socket, authenticator, localVm, link.peer(), link);
-        if (!link.connected(dial, connection)) {
+        if (!link.onConnected(dial, connection)) {
             connection.close("no longer needed");
         }
     }
--- a/library/src/main/java/io/radishspindle/protocol/message/ConfigPull.java
+++ b/library/src/main/java/io/radishspindle/protocol/message/ConfigPull.java
@@ -2,5 +2,5 @@
 
 import io.radishspindle.protocol.PeerMessage;
 
-/** Asks for a configuration newer than {@code haveRevision}. Immutable and thread-safe. */
+/** Requests a configuration newer than {@code haveRevision}. Immutable and thread-safe. */
 public record ConfigPull(long haveRevision) implements PeerMessage {}
--- a/library/src/main/java/io/radishspindle/protocol/message/EmptyReply.java
+++ b/library/src/main/java/io/radishspindle/protocol/message/EmptyReply.java
@@ -2,5 +2,5 @@
 
 import io.radishspindle.protocol.PeerMessage;
 
-/** Empty answer. Immutable and thread-safe. */
+/** Reply without content. Immutable and thread-safe. */
 public record EmptyReply() implements PeerMessage {}
--- a/library/src/main/java/io/radishspindle/protocol/message/Heartbeat.java
+++ b/library/src/main/java/io/radishspindle/protocol/message/Heartbeat.java
@@ -10,12 +10,12 @@
  *
  * @param incarnation distinguishes restarts of a VM with the same id; higher is newer
  * @param sequence increases by one with each heartbeat to this peer
- * @param receivedSequence highest sequence received from this peer, so that a peer which does not hear us notices
+ * @param receivedSequence highest sequence received from this peer, so that a peer whose heartbeats get lost notices it
  * @param leaving the sender is shutting down
- * @param configRevision revision of the configuration in force at the sender
+ * @param configRevision revision of the configuration that the sender has applied
  * @param groups groups that the sender owns
  * @param services load of the services at the sender
- * @param leavingEndpoints endpoints that the sender knows to be leaving
+ * @param leavingEndpoints endpoints that, as far as the sender knows, are shutting down
  */
 public record Heartbeat(
         String vmId,
--- a/library/src/main/java/io/radishspindle/protocol/message/ListJobsReply.java
+++ b/library/src/main/java/io/radishspindle/protocol/message/ListJobsReply.java
@@ -4,5 +4,5 @@
 import io.radishspindle.protocol.PeerMessage;
 import java.util.List;
 
-/** Answer to {@link ListJobs}. Immutable and thread-safe. */
+/** Reply to {@link ListJobs}. Immutable and thread-safe. */
 public record ListJobsReply(List<JobStatus> jobs) implements PeerMessage {}
--- a/library/src/main/java/io/radishspindle/protocol/message/PoolMessages.java
+++ b/library/src/main/java/io/radishspindle/protocol/message/PoolMessages.java
@@ -9,13 +9,13 @@
 public final class PoolMessages {
     private PoolMessages() {}
 
-    /** Tells the owner of a pool that a job has been stored; a lost message is made up for by the owner's watch. */
+    /** Notifies the owner of a pool that a job has been stored; if it is lost, the owner's watch finds the job. */
     public record JobStored(PoolJob job) implements PeerMessage {}
 
-    /** Tells the owner of a pool that the cancellation of a job has been stored. */
+    /** Notifies the owner of a pool that the cancellation of a job has been stored. */
     public record CancelStored(String pool, String jobId) implements PeerMessage {}
 
-    /** Asks the owner for the state of a job; answered by {@link PoolJobState}. */
+    /** Queries the owner for the state of a job; the reply is {@link PoolJobState}. */
     public record QueryPoolJob(String pool, String jobId) implements PeerMessage {}
 
     /**
@@ -25,33 +25,34 @@
      */
     public record PoolJobState(String phase) implements PeerMessage {}
 
-    /** Asks the owner how many jobs of a queue wait for their first start; answered by {@link PendingJobs}. */
+    /** Queries the owner for the number of jobs of a queue without a started task; the reply is {@link PendingJobs}. */
     public record QueryPending(String pool, String queue) implements PeerMessage {}
 
     /** Number of jobs without a started task. */
     public record PendingJobs(int count) implements PeerMessage {}
 
-    /** Asks whether the receiver owns a pool; answered by {@link PoolPong}. */
+    /** Queries whether the receiver owns a pool; the reply is {@link PoolPong}. */
     public record PoolPing(String pool) implements PeerMessage {}
 
     /**
-     * Answer to a ping.
+     * Reply to a {@link PoolPing}.
      *
      * @param owner whether the sender owns the pool
      */
     public record PoolPong(boolean owner) implements PeerMessage {}
 
-    /** Asks a VM to make a call for advice; answered by {@link AdviceReply}. */
+    /** Requests a call of the advice service on behalf of the sender; the reply is {@link AdviceReply}. */
     public record RequestAdvice(String step, List<String> workers, long expectedMs) implements PeerMessage {}
 
     /** Tickets by worker id, with their validity in milliseconds. */
     public record AdviceReply(Map<String, String> tickets, long validMs) implements PeerMessage {}
 
-    /** One key of a relayed call; an absent value is null. */
+    /** One key of a relayed store call; the value is null if the key does not exist. */
     public record RelayedItem(String key, byte[] value, long revision, long lease) {}
 
     /**
-     * A store call that the sender can't make itself; answered by {@link RelayStoreReply}.
+     * A store call that the receiver makes for a sender that can't reach the store itself; the reply is
+     * {@link RelayStoreReply}.
      *
      * @param operation name of the call
      * @param key key, prefix or lease
@@ -67,15 +68,15 @@
             implements PeerMessage {}
 
     /**
-     * Asks a VM of the same region for the operators' configuration; answered by {@link ConfigReply}.
+     * Requests the operators' configuration from a VM of the same region; the reply is {@link ConfigReply}.
      *
-     * @param afterRevision the answer waits for a later revision, at most {@code waitMs} milliseconds
+     * @param afterRevision the reply is delayed until there is a later revision, by at most {@code waitMs} milliseconds
      */
     public record QueryConfig(long afterRevision, long waitMs) implements PeerMessage {}
 
-    /** The configuration as the store keeps it; an empty value says that there is no later one. */
+    /** The configuration as stored; the value is empty if there is no later revision. */
     public record ConfigReply(String key, byte[] value, long revision) implements PeerMessage {}
 
-    /** Result of a relayed call. */
+    /** Result of a relayed store call. */
     public record RelayStoreReply(boolean applied, long revision, List<RelayedItem> items) implements PeerMessage {}
 }
--- a/library/src/main/java/io/radishspindle/protocol/message/RelayDigest.java
+++ b/library/src/main/java/io/radishspindle/protocol/message/RelayDigest.java
@@ -5,11 +5,11 @@
 import java.util.List;
 
 /**
- * What the relay VM of a data centre tells the relay of another region about the entry VMs of its data centre. The
- * receiver passes it on inside its own data centre. Immutable and thread-safe.
+ * State of the entry VMs of a data centre, which the relay VM of that data centre sends to the relay of another region.
+ * The receiver forwards it inside its own data centre. Immutable and thread-safe.
  *
  * @param dataCentre data centre that is described
- * @param relayVm relay that wrote the digest
+ * @param relayVm relay that created the digest
  * @param incarnation incarnation of that relay
  * @param sequence increases with each digest of the relay to the same VM
  * @param ackedIncarnation incarnation of the receiver whose digests the relay has seen; 0 for none
--- a/library/src/main/java/io/radishspindle/protocol/message/SubmitJob.java
+++ b/library/src/main/java/io/radishspindle/protocol/message/SubmitJob.java
@@ -4,7 +4,7 @@
 import io.radishspindle.protocol.PeerMessage;
 
 /**
- * Asks the owner of a group to accept a job; answered by {@link JobStatusReply}. Immutable and thread-safe.
+ * Submits a job to the owner of a group; the reply is {@link JobStatusReply}. Immutable and thread-safe.
  *
  * @param epoch the only epoch in which the job may be accepted
  */
--- a/library/src/main/java/io/radishspindle/protocol/message/package-info.java
+++ b/library/src/main/java/io/radishspindle/protocol/message/package-info.java
@@ -1,3 +1,3 @@
-/** Messages of the inner protocol. */
+/** Messages of the internal protocol between entry VMs. */
 @org.jspecify.annotations.NullMarked
 package io.radishspindle.protocol.message;
--- a/library/src/test/java/io/radishspindle/protocol/HostilePeersTest.java
+++ b/library/src/test/java/io/radishspindle/protocol/HostilePeersTest.java
@@ -26,7 +26,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Guards a VM against connections that break the protocol: each is closed, and other peers are not affected. */
+/**
+ * Guards against connections that violate the protocol and take a VM down or disturb its other peers: each such
+ * connection must be closed while an authenticated peer is still served.
+ */
 class HostilePeersTest {
     private static final String KEY = "0123456789abcdef";
     private static final long LONG_MS = 20_000;
@@ -34,14 +37,14 @@
     private final Vertx vertx = Vertx.vertx();
     private final NetClient client = vertx.createNetClient();
     private TcpPeerMessenger target;
-    private TcpPeerMessenger friend;
+    private TcpPeerMessenger healthyPeer;
 
     @BeforeEach
     void start() {
         target = new TcpPeerMessenger(vertx, new SystemClock(), "target", "127.0.0.1", 0, KEY, vm -> Optional.empty());
         target.handle(ConfigPull.class, (from, pull) -> Future.succeededFuture(Either.right(new EmptyReply())));
         await(target.start());
-        friend = new TcpPeerMessenger(
+        healthyPeer = new TcpPeerMessenger(
                 vertx,
                 new SystemClock(),
                 "friend",
@@ -49,8 +52,8 @@
                 0,
                 KEY,
                 vm -> Optional.of(new PeerDirectory.PeerAddress("127.0.0.1", target.port())));
-        await(friend.start());
-        assertThat(friendIsServed()).isTrue();
+        await(healthyPeer.start());
+        assertThat(healthyPeerIsServed()).isTrue();
     }
 
     @AfterEach
@@ -65,13 +68,13 @@
                 .join();
     }
 
-    private boolean friendIsServed() {
+    private boolean healthyPeerIsServed() {
         Either<Failure, EmptyReply> reply =
-                await(friend.request("target", new ConfigPull(1), EmptyReply.class, LONG_MS));
+                await(healthyPeer.request("target", new ConfigPull(1), EmptyReply.class, LONG_MS));
         return reply.isRight();
     }
 
-    /** Opens a connection, sends the bytes and yields what came back once the connection is closed. */
+    /** Opens a connection and sends the bytes; completes with what was received once the connection is closed. */
     private CompletableFuture<Buffer> attack(Buffer bytes) {
         CompletableFuture<Buffer> closed = new CompletableFuture<>();
         Buffer received = Buffer.buffer();
@@ -89,7 +92,7 @@
         return Buffer.buffer().appendInt(bytes.length).appendBytes(bytes);
     }
 
-    private static Buffer hostile(String kind) {
+    private static Buffer invalidBytes(String kind) {
         byte[] nonce = new byte[PeerAuthenticator.NONCE_BYTES];
         return switch (kind) {
             case "oversized" -> Buffer.buffer().appendInt(Integer.MAX_VALUE);
@@ -125,31 +128,31 @@
                 "null-fields",
                 "own-name"
             })
-    void should_close_a_connection_that_breaks_the_protocol(String kind) {
+    void should_close_a_connection_that_violates_the_protocol(String kind) {
         // given, when
-        Buffer answer = attack(hostile(kind)).join();
+        Buffer received = attack(invalidBytes(kind)).join();
 
-        // then the peer is told why before the connection is closed
-        assertThat(answer.toString()).contains("peer.connect");
-        assertThat(friendIsServed()).isTrue();
+        // then the reason is sent before the connection is closed
+        assertThat(received.toString()).contains("peer.connect");
+        assertThat(healthyPeerIsServed()).isTrue();
     }
 
     @Test
     void should_close_a_connection_that_stops_in_the_middle_of_a_frame() {
         // given, when
-        Buffer answer =
+        Buffer received =
                 attack(Buffer.buffer().appendInt(100).appendByte((byte) 1)).join();
 
-        // then only the greeting was sent
-        assertThat(answer.length()).isPositive();
-        assertThat(friendIsServed()).isTrue();
+        // then only the hello frame was sent
+        assertThat(received.length()).isPositive();
+        assertThat(healthyPeerIsServed()).isTrue();
     }
 
-    /** Guards against an OutOfMemoryError that five bytes of an unknown peer once caused. */
+    /** Guards against an OutOfMemoryError caused by five bytes of an unauthenticated peer. */
     @ParameterizedTest
     @ValueSource(ints = {0xc6, 0xc9, 0xdb, 0xdd, 0xdf})
-    void should_refuse_a_length_beyond_the_end_of_the_frame(int type) {
-        // given the header of a binary, extension, text, array or map of 2 GiB
+    void should_reject_a_length_beyond_the_end_of_the_frame(int type) {
+        // given the header of a binary, extension, string, array or map of 2 GiB
         byte[] header = Buffer.buffer()
                 .appendByte((byte) type)
                 .appendInt(Integer.MAX_VALUE - 8)
@@ -175,11 +178,11 @@
         attacks.forEach(CompletableFuture::join);
 
         // then
-        assertThat(friendIsServed()).isTrue();
+        assertThat(healthyPeerIsServed()).isTrue();
     }
 
     @Test
-    void should_serve_peers_while_silent_connections_pile_up() {
+    void should_serve_peers_while_idle_connections_accumulate() {
         // given many more connections than are allowed before the handshake
         List<NetSocket> sockets = new ArrayList<>();
         for (int i = 0; i < 4 * PeerListener.MAX_UNAUTHENTICATED; i++) {
@@ -187,7 +190,7 @@
         }
 
         // when a peer that is not connected yet sends a request
-        TcpPeerMessenger late = new TcpPeerMessenger(
+        TcpPeerMessenger newPeer = new TcpPeerMessenger(
                 vertx,
                 new SystemClock(),
                 "late",
@@ -195,12 +198,13 @@
                 0,
                 KEY,
                 vm -> Optional.of(new PeerDirectory.PeerAddress("127.0.0.1", target.port())));
-        await(late.start());
-        Either<Failure, EmptyReply> reply = await(late.request("target", new ConfigPull(1), EmptyReply.class, LONG_MS));
+        await(newPeer.start());
+        Either<Failure, EmptyReply> reply =
+                await(newPeer.request("target", new ConfigPull(1), EmptyReply.class, LONG_MS));
 
         // then
         assertThat(reply.isRight()).isTrue();
-        assertThat(friendIsServed()).isTrue();
+        assertThat(healthyPeerIsServed()).isTrue();
         assertThat(sockets).hasSize(4 * PeerListener.MAX_UNAUTHENTICATED);
     }
 }
--- a/library/src/test/java/io/radishspindle/protocol/TcpPeerMessengerTest.java
+++ b/library/src/test/java/io/radishspindle/protocol/TcpPeerMessengerTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Guards against lost, crossed or unauthenticated messages between entry VMs. Uses loopback and generous timeouts. */
+/** Guards against lost, mixed up or unauthenticated messages between entry VMs. Runs over loopback connections. */
 class TcpPeerMessengerTest {
     private static final long LONG_MS = 20_000;
     private static final String KEY = "0123456789abcdef";
@@ -58,8 +58,8 @@
     }
 
     @Test
-    void should_give_each_request_its_own_answer() {
-        // given a handler that answers the first request last
+    void should_match_each_reply_to_its_request() {
+        // given a handler that replies to the first request last
         b.handle(ConfigPull.class, (from, pull) -> {
             ConfigDocument reply = new ConfigDocument(pull.haveRevision() + 1, from.getBytes());
             return vertx.timer(51 - pull.haveRevision(), TimeUnit.MILLISECONDS).map(ignored -> Either.right(reply));
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void should_pass_on_the_failure_of_a_remote_handler() {
+    void should_return_the_failure_of_a_remote_handler() {
         // given
         Failure failure = Failure.retryable(ErrorCode.NO_OWNER, "test", "b", "no owner", 7);
         b.handle(ConfigPull.class, (from, pull) -> Future.succeededFuture(Either.left(failure)));
@@ -93,8 +93,8 @@
     }
 
     @Test
-    void should_say_whether_an_unanswered_request_was_sent() {
-        // given a handler that never answers
+    void should_report_whether_a_timed_out_request_was_sent() {
+        // given a handler that never replies
         b.handle(ConfigPull.class, (from, pull) -> Future.future(never -> {}));
 
         // when
@@ -110,13 +110,13 @@
     }
 
     @Test
-    void should_refuse_a_peer_with_another_key() {
+    void should_reject_a_peer_with_another_key() {
         // given
         b.handle(ConfigPull.class, (from, pull) -> Future.succeededFuture(Either.right(new EmptyReply())));
-        TcpPeerMessenger stranger = messenger("c", "another-key-of-16-characters");
+        TcpPeerMessenger unauthenticated = messenger("c", "another-key-of-16-characters");
 
         // when
-        Failure failure = await(stranger.request("b", new ConfigPull(1), EmptyReply.class, LONG_MS))
+        Failure failure = await(unauthenticated.request("b", new ConfigPull(1), EmptyReply.class, LONG_MS))
                 .getLeft();
 
         // then
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void should_refuse_a_message_that_exceeds_the_frame_size() {
+    void should_reject_a_message_that_exceeds_the_frame_size() {
         // given
         ConfigDocument huge = new ConfigDocument(1, new byte[PeerCodec.MAX_FRAME_BYTES]);
 
@@ -160,8 +160,8 @@
     }
 
     @Test
-    void should_refuse_requests_beyond_the_bound_of_outstanding_ones() {
-        // given a connected peer that never answers
+    void should_reject_requests_beyond_the_limit_of_outstanding_ones() {
+        // given a connected peer that never replies
         b.handle(ConfigPull.class, (from, pull) -> Future.future(never -> {}));
         assertThat(await(a.request("b", new ConfigPull(0), EmptyReply.class, 2_000))
                         .getLeft()
@@ -174,10 +174,10 @@
             replies.add(a.request("b", new ConfigPull(i), EmptyReply.class, 3_000));
         }
 
-        // then only the last one is refused, and it certainly did not run
-        Failure refusal = await(replies.get(PeerLink.MAX_OUTSTANDING)).getLeft();
-        assertThat(refusal.code()).isEqualTo(ErrorCode.OVERLOADED);
-        assertThat(refusal.notRun()).isTrue();
+        // then only the last one is rejected, and reported as not run
+        Failure rejection = await(replies.get(PeerLink.MAX_OUTSTANDING)).getLeft();
+        assertThat(rejection.code()).isEqualTo(ErrorCode.OVERLOADED);
+        assertThat(rejection.notRun()).isTrue();
         assertThat(await(replies.get(0)).getLeft().code()).isEqualTo(ErrorCode.OUTCOME_UNKNOWN);
     }
 }
