--- a/library/src/main/java/io/radishspindle/pool/core/PoolScheduler.java
+++ b/library/src/main/java/io/radishspindle/pool/core/PoolScheduler.java
@@ -105,7 +105,7 @@
     }
 
     /** Replaces what is known of a worker's registration. */
-    public void workerListed(WorkerEntry entry, long nowMs) {
+    public void onWorkerRegistered(WorkerEntry entry, long nowMs) {
         WorkerState worker = workers.get(entry.id());
         if (worker == null) {
             workers.put(entry.id(), new WorkerState(entry));
@@ -119,7 +119,7 @@
     }
 
     /** The registration is gone; the worker gets no more work, and its runs end with their leases. */
-    public void workerUnlisted(String workerId) {
+    public void onWorkerUnregistered(String workerId) {
         WorkerState worker = workers.get(workerId);
         if (worker != null) {
             worker.listed = false;
@@ -189,7 +189,7 @@
      *
      * @param requestedAtMs when the hold was sent; runs that were settled later may be absent from the lists
      */
-    public void holdAnswered(String workerId, long requestedAtMs, WorkerReport report, long nowMs, long wallMs) {
+    public void onHoldReply(String workerId, long requestedAtMs, WorkerReport report, long nowMs, long wallMs) {
         WorkerState worker = workers.get(workerId);
         if (worker != null) {
             events.reported(worker, requestedAtMs, report, nowMs, wallMs);
@@ -200,7 +200,7 @@
     }
 
     /** A hold that was sent at {@code sentAtMs} got no answer or was turned down. */
-    public void holdFailed(String workerId, long sentAtMs) {
+    public void onHoldFailed(String workerId, long sentAtMs) {
         WorkerState worker = workers.get(workerId);
         if (worker != null) {
             worker.lastHoldFailed = true;
@@ -212,7 +212,7 @@
      * Another worker answers at the address, which is given away only after its holder has ended: the runs of the
      * earlier holder are over.
      */
-    public void workerReplaced(WorkerEntry asked, long nowMs, long wallMs) {
+    public void onWorkerReplaced(WorkerEntry asked, long nowMs, long wallMs) {
         WorkerState worker = workers.get(asked.id());
         // An entry that was never answered to may name a wrong address.
         if (worker == null || worker.answeredAs == null || !worker.answeredAs.isSameLife(asked)) {
@@ -226,20 +226,20 @@
     }
 
     /** The answer to a start; null if there was none and the start may still be carried out. */
-    public void startAnswered(String workerId, Run run, @Nullable Answer answer, long nowMs) {
+    public void onStartReply(String workerId, Run run, @Nullable Answer answer, long nowMs) {
         WorkerState worker = workers.get(workerId);
         RunState state = worker == null ? null : worker.runs.get(run);
         if (state != null) {
-            events.startAnswered(state, answer, nowMs);
+            events.onStartReply(state, answer, nowMs);
         }
     }
 
     /** The answer to a stop; null if there was none. */
-    public void stopAnswered(String workerId, Run run, @Nullable Answer answer, long nowMs) {
+    public void onStopReply(String workerId, Run run, @Nullable Answer answer, long nowMs) {
         WorkerState worker = workers.get(workerId);
         RunState state = worker == null ? null : worker.runs.get(run);
         if (state != null) {
-            events.stopAnswered(state, answer, nowMs);
+            events.onStopReply(state, answer, nowMs);
         }
     }
 
@@ -248,7 +248,7 @@
      *
      * @param asked the workers that were named in the call
      */
-    public void advised(String stepName, List<String> asked, @Nullable Advice advice, long nowMs) {
+    public void onAdvice(String stepName, List<String> asked, @Nullable Advice advice, long nowMs) {
         TaskName.parse(stepName + ".0").ifPresent(name -> {
             JobState job = open.get(name.jobId());
             if (job == null) {
--- a/library/src/main/java/io/radishspindle/pool/core/RunEvents.java
+++ b/library/src/main/java/io/radishspindle/pool/core/RunEvents.java
@@ -193,7 +193,7 @@
         return name.index() < tasks.size() ? tasks.get(name.index()) : null;
     }
 
-    void startAnswered(RunState run, @Nullable Answer answer, long nowMs) {
+    void onStartReply(RunState run, @Nullable Answer answer, long nowMs) {
         if (answer == Answer.ACCEPTED) {
             if (run.phase == Phase.STARTING) {
                 run.phase = Phase.RUNNING;
@@ -224,7 +224,7 @@
         }
     }
 
-    void stopAnswered(RunState run, @Nullable Answer answer, long nowMs) {
+    void onStopReply(RunState run, @Nullable Answer answer, long nowMs) {
         if (answer == Answer.ACCEPTED || answer == Answer.OUTDATED) {
             run.stopAccepted = true;
             run.settledAtMs = nowMs;
--- a/library/src/main/java/io/radishspindle/pool/runtime/PoolOwner.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/PoolOwner.java
@@ -282,7 +282,7 @@
                         ask.step(),
                         result.getLeft().message());
             }
-            scheduler.advised(ask.step(), ask.workers(), result.getOrNull(), clock.nowMs());
+            scheduler.onAdvice(ask.step(), ask.workers(), result.getOrNull(), clock.nowMs());
             passSoon();
         });
     }
@@ -324,7 +324,7 @@
     }
 
     void workerListed(WorkerEntry entry) {
-        scheduler.workerListed(entry, clock.nowMs());
+        scheduler.onWorkerRegistered(entry, clock.nowMs());
         sessions.pollNew();
         if (loaded) {
             passSoon();
@@ -332,7 +332,7 @@
     }
 
     void workerUnlisted(String workerId) {
-        scheduler.workerUnlisted(workerId);
+        scheduler.onWorkerUnregistered(workerId);
     }
 
     /** Phase of a job; empty if this owner can't tell, for example while it loads. */
--- a/library/src/main/java/io/radishspindle/pool/runtime/WorkerSessions.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/WorkerSessions.java
@@ -122,7 +122,7 @@
         }
         listener.beforeReport();
         if (result.isRight() && result.get().answer() == Answer.ACCEPTED) {
-            scheduler.holdAnswered(id, sentAtMs, result.get().report(), receivedAtMs, clock.wallMs());
+            scheduler.onHoldReply(id, sentAtMs, result.get().report(), receivedAtMs, clock.wallMs());
             listener.onReport();
             if (scheduler.awaitsDurability(id)) {
                 pollLater(id, PoolTiming.ACK_RETRY_MS);
@@ -135,9 +135,9 @@
             listener.onDeposed("worker " + id + " has seen a higher fencing token");
             return;
         }
-        scheduler.holdFailed(id, sentAtMs);
+        scheduler.onHoldFailed(id, sentAtMs);
         if (result.isRight() && result.get().answer() == Answer.OTHER_BOOT) {
-            scheduler.workerReplaced(worker, clock.nowMs(), clock.wallMs());
+            scheduler.onWorkerReplaced(worker, clock.nowMs(), clock.wallMs());
             listener.onReport();
         }
         pollLater(id, PoolTiming.HOLD_RETRY_MS);
@@ -178,7 +178,7 @@
             listener.onDeposed("worker " + worker + " has seen a higher fencing token");
             return;
         }
-        scheduler.startAnswered(worker, run, answer, clock.nowMs());
+        scheduler.onStartReply(worker, run, answer, clock.nowMs());
         if (answer != Answer.ACCEPTED) {
             listener.onReport();
         }
@@ -194,7 +194,7 @@
                 if (answer == Answer.FENCED) {
                     listener.onDeposed("worker " + worker.id() + " has seen a higher fencing token");
                 } else {
-                    scheduler.stopAnswered(worker.id(), run, answer, clock.nowMs());
+                    scheduler.onStopReply(worker.id(), run, answer, clock.nowMs());
                 }
             }
         });
--- a/library/src/test/java/io/radishspindle/pool/core/PausedOwnerTest.java
+++ b/library/src/test/java/io/radishspindle/pool/core/PausedOwnerTest.java
@@ -23,8 +23,8 @@
 
     @BeforeEach
     void answerOnce() {
-        scheduler.workerListed(WORKER, nowMs);
-        scheduler.holdAnswered("w", nowMs, IDLE, nowMs, nowMs);
+        scheduler.onWorkerRegistered(WORKER, nowMs);
+        scheduler.onHoldReply("w", nowMs, IDLE, nowMs, nowMs);
         scheduler.submit(SimJobs.job("a", 0, nowMs, SimJobs.step(1, 1_000, 0, 100)));
     }
 
@@ -52,7 +52,7 @@
         scheduler.distrustAnswers(nowMs);
 
         // when
-        scheduler.holdAnswered("w", sentAtMs, IDLE, nowMs, nowMs);
+        scheduler.onHoldReply("w", sentAtMs, IDLE, nowMs, nowMs);
 
         // then
         assertThat(starts()).isZero();
@@ -64,7 +64,7 @@
         scheduler.distrustAnswers(nowMs);
 
         // when
-        scheduler.holdAnswered("w", nowMs, IDLE, nowMs + 5, nowMs + 5);
+        scheduler.onHoldReply("w", nowMs, IDLE, nowMs + 5, nowMs + 5);
         nowMs += 5;
 
         // then
--- a/library/src/test/java/io/radishspindle/pool/core/PoolSimulation.java
+++ b/library/src/test/java/io/radishspindle/pool/core/PoolSimulation.java
@@ -84,7 +84,7 @@
         WorkerEntry entry =
                 new WorkerEntry(id, "pool", "10.0.0.1", 80, "dc", rack, false, -1, 500, capacity, List.of("a", rack));
         workers.put(id, new SimWorker(entry, history));
-        scheduler.workerListed(entry, nowMs);
+        scheduler.onWorkerRegistered(entry, nowMs);
         poll(id, scheduler, token);
     }
 
@@ -106,7 +106,7 @@
         underWay.clear();
         storedJobs.values().forEach(this::load);
         scheduler.beginRecovery(nowMs);
-        workers.values().forEach(worker -> scheduler.workerListed(worker.entry, nowMs));
+        workers.values().forEach(worker -> scheduler.onWorkerRegistered(worker.entry, nowMs));
         workers.keySet().forEach(id -> poll(id, scheduler, token));
     }
 
@@ -189,7 +189,7 @@
         long waitMs = worker.hasEnds() ? 0 : Math.min(order.waitMs(), 200);
         after(latency() + waitMs, () -> {
             if (worker.silent || worker.bootWallMs != bootWallMs) {
-                owner.holdFailed(id, sentAtMs);
+                owner.onHoldFailed(id, sentAtMs);
                 after(PoolTiming.HOLD_RETRY_MS, () -> poll(id, owner, ownToken));
                 return;
             }
@@ -198,7 +198,7 @@
                 var report = worker.report(nowMs);
                 after(latency(), () -> {
                     if (owner == scheduler) {
-                        owner.holdAnswered(id, sentAtMs, report, nowMs, nowMs);
+                        owner.onHoldReply(id, sentAtMs, report, nowMs, nowMs);
                         long pauseMs = owner.awaitsDurability(id) ? PoolTiming.ACK_RETRY_MS : 1;
                         after(pauseMs, () -> poll(id, owner, ownToken));
                     }
@@ -215,14 +215,14 @@
                     order.run(), order.payload(), order.leaseEndWorkerMs(), token, order.checkpoint(), order.ticket());
             send(start.worker().id(), worker -> startOn(worker, fenced), answer -> {
                 if (owner == scheduler) {
-                    owner.startAnswered(start.worker().id(), order.run(), answer, nowMs);
+                    owner.onStartReply(start.worker().id(), order.run(), answer, nowMs);
                 }
             });
         } else if (action instanceof PoolAction.Stop stop) {
             long sentToken = token;
             send(stop.worker().id(), worker -> worker.stop(stop.run(), sentToken, nowMs), answer -> {
                 if (owner == scheduler) {
-                    owner.stopAnswered(stop.worker().id(), stop.run(), answer, nowMs);
+                    owner.onStopReply(stop.worker().id(), stop.run(), answer, nowMs);
                 }
             });
         } else if (action instanceof PoolAction.Advise ask) {
@@ -231,7 +231,7 @@
             adviceCalls++;
             after(ask.expectedMs(), () -> {
                 adviceCalls--;
-                owner.advised(ask.step(), ask.workers(), new Advice(tickets, 2_000), nowMs);
+                owner.onAdvice(ask.step(), ask.workers(), new Advice(tickets, 2_000), nowMs);
             });
         }
     }
--- a/library/src/test/java/io/radishspindle/pool/core/ReplacedWorkerTest.java
+++ b/library/src/test/java/io/radishspindle/pool/core/ReplacedWorkerTest.java
@@ -28,7 +28,7 @@
     }
 
     private void answer(String id) {
-        scheduler.holdAnswered(id, nowMs, new WorkerReport(1, nowMs, List.of(), List.of()), nowMs, nowMs);
+        scheduler.onHoldReply(id, nowMs, new WorkerReport(1, nowMs, List.of(), List.of()), nowMs, nowMs);
     }
 
     private List<String> startedOn() {
@@ -40,21 +40,21 @@
 
     @BeforeEach
     void startTaskOnTheFirstWorker() {
-        scheduler.workerListed(first, nowMs);
+        scheduler.onWorkerRegistered(first, nowMs);
         answer("first");
         scheduler.submit(SimJobs.job("job", 0, nowMs, SimJobs.step(1, 2_000, 0, 500)));
         assertThat(startedOn()).containsExactly("first");
-        scheduler.workerListed(second, nowMs);
-        scheduler.workerListed(tiny, nowMs);
+        scheduler.onWorkerRegistered(second, nowMs);
+        scheduler.onWorkerRegistered(tiny, nowMs);
         answer("tiny");
         nowMs += 100;
-        scheduler.holdFailed("first", nowMs);
+        scheduler.onHoldFailed("first", nowMs);
     }
 
     @Test
     void should_start_the_tasks_elsewhere_at_once_when_another_worker_answers_at_the_address() {
         // when
-        scheduler.workerReplaced(first, nowMs, nowMs);
+        scheduler.onWorkerReplaced(first, nowMs, nowMs);
         answer("second");
 
         // then
@@ -65,10 +65,10 @@
     void should_wait_for_the_leases_when_the_entry_has_moved_to_an_address_that_never_answered() {
         // given
         WorkerEntry moved = entry("first", 90, 2_000);
-        scheduler.workerListed(moved, nowMs);
+        scheduler.onWorkerRegistered(moved, nowMs);
 
         // when
-        scheduler.workerReplaced(moved, nowMs, nowMs);
+        scheduler.onWorkerReplaced(moved, nowMs, nowMs);
         answer("second");
 
         // then
--- a/library/src/test/java/io/radishspindle/pool/core/UnknownRunsTest.java
+++ b/library/src/test/java/io/radishspindle/pool/core/UnknownRunsTest.java
@@ -24,7 +24,7 @@
     void listWorker() {
         scheduler.loadEnded("gone", JobPhase.CANCELLED, 500);
         scheduler.beginRecovery(nowMs);
-        scheduler.workerListed(
+        scheduler.onWorkerRegistered(
                 new WorkerEntry(
                         "w",
                         "pool",
@@ -44,7 +44,7 @@
         List<RunningTask> running = Arrays.stream(indices)
                 .mapToObj(index -> new RunningTask(new Run(new TaskName("gone", 0, 0, index), 1), "", 100, 8_000))
                 .toList();
-        scheduler.holdAnswered("w", nowMs, new WorkerReport(1, nowMs, running, List.of()), nowMs, nowMs);
+        scheduler.onHoldReply("w", nowMs, new WorkerReport(1, nowMs, running, List.of()), nowMs, nowMs);
         nowMs += 50;
     }
 
