--- a/library/src/main/java/io/radishspindle/pool/core/PoolScheduler.java
+++ b/library/src/main/java/io/radishspindle/pool/core/PoolScheduler.java
@@ -154,7 +154,7 @@
      * Treats all workers as silent until they answer a hold that is sent from now on: the owner did not run for a
      * while, and its workers may have another owner.
      */
-    public void distrustAnswers(long nowMs) {
+    public void invalidateEarlierAnswers(long nowMs) {
         trustedFromMs = nowMs;
         workers.values().forEach(worker -> worker.lastAnswerMs = Math.min(worker.lastAnswerMs, silentSince(nowMs)));
     }
@@ -215,7 +215,7 @@
     public void onWorkerReplaced(WorkerEntry asked, long nowMs, long wallMs) {
         WorkerState worker = workers.get(asked.id());
         // An entry that was never answered to may name a wrong address.
-        if (worker == null || worker.answeredAs == null || !worker.answeredAs.isSameLife(asked)) {
+        if (worker == null || worker.answeredAs == null || !worker.answeredAs.isSameIncarnation(asked)) {
             return;
         }
         worker.answered = false;
@@ -367,7 +367,7 @@
     }
 
     /** Number of jobs that have not ended. */
-    public int openJobs() {
+    public int unfinishedJobs() {
         return open.size();
     }
 
@@ -377,7 +377,7 @@
     }
 
     /** Forgets jobs that ended before {@code untilWallMs}; yields their ids, at most {@code limit}. */
-    public List<String> forgetEnded(long untilWallMs, int limit) {
+    public List<String> removeEnded(long untilWallMs, int limit) {
         List<String> ids = new ArrayList<>();
         jobs.values().stream()
                 .filter(job -> !job.isOpen() && job.durablePhase.isFinal() && job.endedWallMs < untilWallMs)
--- a/library/src/main/java/io/radishspindle/pool/core/ProgressLedger.java
+++ b/library/src/main/java/io/radishspindle/pool/core/ProgressLedger.java
@@ -94,7 +94,7 @@
     }
 
     /** The batch has become durable. */
-    public void written(Batch batch) {
+    public void onWritten(Batch batch) {
         batch.progress().forEach((id, progress) -> {
             JobState job = jobs.get(id);
             if (job != null && progress.phase().isFinal()) {
@@ -118,7 +118,7 @@
     }
 
     /** The batch could not be written; its jobs are written again, and the ends that it was due to wait for them. */
-    public void notWritten(Batch batch) {
+    public void onWriteFailed(Batch batch) {
         underWay.remove(batch.number());
         takenOver.removeIf(ends -> ends.upToBatch() >= batch.number());
         batch.progress().keySet().forEach(id -> {
--- a/library/src/main/java/io/radishspindle/pool/core/SchedulingPass.java
+++ b/library/src/main/java/io/radishspindle/pool/core/SchedulingPass.java
@@ -54,7 +54,7 @@
             return;
         }
         AdvicePlanner.plan(step, workers, placer, nowMs)
-                .filter(advise -> channels.tryTake(advise.expectedMs()))
+                .filter(advise -> channels.tryAcquire(advise.expectedMs()))
                 .ifPresent(advise -> {
                     step.adviceInFlight = true;
                     actions.add(advise);
--- a/library/src/main/java/io/radishspindle/pool/model/WorkerEntry.java
+++ b/library/src/main/java/io/radishspindle/pool/model/WorkerEntry.java
@@ -28,7 +28,7 @@
     }
 
     /** Whether both name the same life of a worker at the same address. */
-    public boolean isSameLife(WorkerEntry other) {
+    public boolean isSameIncarnation(WorkerEntry other) {
         return id.equals(other.id) && host.equals(other.host) && port == other.port && bootWallMs == other.bootWallMs;
     }
 }
--- a/library/src/main/java/io/radishspindle/pool/runtime/AdviceDispatcher.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/AdviceDispatcher.java
@@ -135,7 +135,7 @@
         }
 
         @Override
-        public boolean tryTake(long expectedMs) {
+        public boolean tryAcquire(long expectedMs) {
             boolean isLong = expectedMs > LONG_CALL_MS;
             if (idle == 0 || (isLong && longLeft == 0)) {
                 return false;
--- a/library/src/main/java/io/radishspindle/pool/runtime/PoolOwner.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/PoolOwner.java
@@ -161,7 +161,7 @@
                 pool,
                 token,
                 count,
-                scheduler.openJobs(),
+                scheduler.unfinishedJobs(),
                 clock.nowMs() - claimedAtMs);
         pauses.look();
         intake.startAfter(jobs.revision());
@@ -176,7 +176,7 @@
         if (ticks % FORGET_EVERY_TICKS == 0) {
             forgetEnded();
         }
-        if (ticks % LOAD_EVERY_TICKS == 0 && scheduler.openJobs() > 0) {
+        if (ticks % LOAD_EVERY_TICKS == 0 && scheduler.unfinishedJobs() > 0) {
             logLoad();
         }
         if (!recoveryLogged && !scheduler.isRecovering(clock.nowMs())) {
@@ -192,7 +192,7 @@
                         + " waiting={} running={} without_tickets={} idle_channels={}",
                 pool,
                 token,
-                scheduler.openJobs(),
+                scheduler.unfinishedJobs(),
                 load.workers(),
                 load.usable(),
                 load.usedMilliCores() / MILLI,
@@ -232,7 +232,7 @@
         long pauseMs = pauses.look();
         if (pauseMs > 0) {
             Logger.warn("event=owner-paused pool={} token={} pause_ms={}", pool, token, pauseMs);
-            scheduler.distrustAnswers(clock.nowMs());
+            scheduler.invalidateEarlierAnswers(clock.nowMs());
         }
     }
 
@@ -288,7 +288,7 @@
     }
 
     private void forgetEnded() {
-        List<String> ids = scheduler.forgetEnded(clock.wallMs() - RETENTION_MS, FORGET_BATCH);
+        List<String> ids = scheduler.removeEnded(clock.wallMs() - RETENTION_MS, FORGET_BATCH);
         if (ids.isEmpty()) {
             return;
         }
@@ -346,7 +346,7 @@
     }
 
     int openJobs() {
-        return scheduler.openJobs();
+        return scheduler.unfinishedJobs();
     }
 
     private void deposed(String reason) {
--- a/library/src/main/java/io/radishspindle/pool/runtime/ProgressWriter.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/ProgressWriter.java
@@ -153,7 +153,7 @@
             return;
         }
         if (result.isLeft()) {
-            scheduler.progress().notWritten(batch);
+            scheduler.progress().onWriteFailed(batch);
             Failure failure = result.getLeft();
             if (failure.code() != ErrorCode.STORE_UNAVAILABLE && failure.notRun()) {
                 Logger.warn("event=progress-rejected pool={} error=\"{}\"", pool, failure.message());
@@ -163,7 +163,7 @@
             writes.forEach(write -> revisions.put(write.key(), result.get().revision()));
             durable(batch);
         } else {
-            scheduler.progress().notWritten(batch);
+            scheduler.progress().onWriteFailed(batch);
             onConflict(result.get().current());
         }
     }
@@ -186,7 +186,7 @@
     }
 
     private void durable(Batch batch) {
-        scheduler.progress().written(batch);
+        scheduler.progress().onWritten(batch);
         listener.onDurable();
         poke();
     }
--- a/library/src/test/java/io/radishspindle/pool/core/LimitedChannels.java
+++ b/library/src/test/java/io/radishspindle/pool/core/LimitedChannels.java
@@ -11,7 +11,7 @@
     }
 
     @Override
-    public boolean tryTake(long expectedMs) {
+    public boolean tryAcquire(long expectedMs) {
         if (left <= 0) {
             return false;
         }
--- a/library/src/test/java/io/radishspindle/pool/core/PausedOwnerTest.java
+++ b/library/src/test/java/io/radishspindle/pool/core/PausedOwnerTest.java
@@ -37,7 +37,7 @@
     @Test
     void should_start_nothing_after_a_pause_before_a_worker_answers_anew() {
         // given
-        scheduler.distrustAnswers(nowMs);
+        scheduler.invalidateEarlierAnswers(nowMs);
 
         // then
         assertThat(scheduler.hasQuorum(nowMs)).isFalse();
@@ -49,7 +49,7 @@
         // given
         long sentAtMs = nowMs;
         nowMs += 5_000;
-        scheduler.distrustAnswers(nowMs);
+        scheduler.invalidateEarlierAnswers(nowMs);
 
         // when
         scheduler.onHoldReply("w", sentAtMs, IDLE, nowMs, nowMs);
@@ -61,7 +61,7 @@
     @Test
     void should_go_on_with_an_answer_to_a_later_hold() {
         // given
-        scheduler.distrustAnswers(nowMs);
+        scheduler.invalidateEarlierAnswers(nowMs);
 
         // when
         scheduler.onHoldReply("w", nowMs, IDLE, nowMs + 5, nowMs + 5);
--- a/library/src/test/java/io/radishspindle/pool/core/PoolSimulation.java
+++ b/library/src/test/java/io/radishspindle/pool/core/PoolSimulation.java
@@ -165,10 +165,10 @@
             writes--;
             underWay.removeAll(jobs);
             if (storeDown) {
-                owner.progress().notWritten(batch);
+                owner.progress().onWriteFailed(batch);
             } else {
                 storedProgress.putAll(batch.progress());
-                owner.progress().written(batch);
+                owner.progress().onWritten(batch);
             }
         });
     }
--- a/library/src/test/java/io/radishspindle/pool/core/ProgressLedgerTest.java
+++ b/library/src/test/java/io/radishspindle/pool/core/ProgressLedgerTest.java
@@ -33,11 +33,11 @@
         Batch second = ledger.take(1, first.progress().keySet());
 
         // when
-        ledger.written(second);
+        ledger.onWritten(second);
 
         // then
         assertThat(ledger.hasUnacknowledged()).isTrue();
-        ledger.written(first);
+        ledger.onWritten(first);
         assertThat(ledger.hasUnacknowledged()).isFalse();
     }
 
@@ -48,13 +48,13 @@
         Batch second = ledger.take(1, first.progress().keySet());
 
         // when
-        ledger.notWritten(first);
-        ledger.written(second);
+        ledger.onWriteFailed(first);
+        ledger.onWritten(second);
 
         // then
         assertThat(ledger.hasUnacknowledged()).isTrue();
         assertThat(ledger.hasDirty(NONE)).isTrue();
-        ledger.written(ledger.take(1, NONE));
+        ledger.onWritten(ledger.take(1, NONE));
         assertThat(ledger.hasUnacknowledged()).isFalse();
     }
 
--- a/library/src/test/java/io/radishspindle/pool/runtime/AdviceDispatcherTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/AdviceDispatcherTest.java
@@ -132,7 +132,7 @@
 
         // then
         AdviceChannels left = dispatcher.channels("first");
-        assertThat(left.tryTake(640)).isFalse();
-        assertThat(left.tryTake(20)).isTrue();
+        assertThat(left.tryAcquire(640)).isFalse();
+        assertThat(left.tryAcquire(20)).isTrue();
     }
 }
--- a/library/src/test/java/io/radishspindle/pool/runtime/ProgressWriterTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/ProgressWriterTest.java
@@ -75,7 +75,7 @@
         context.runOnContext(ignored -> {
             scheduler
                     .progress()
-                    .notWritten(new ProgressLedger.Batch(0, Map.of("j", new JobProgress(phase, 0, List.of()))));
+                    .onWriteFailed(new ProgressLedger.Batch(0, Map.of("j", new JobProgress(phase, 0, List.of()))));
             writer.poke();
         });
         durable.future().await(10, TimeUnit.SECONDS);
@@ -123,7 +123,7 @@
         context.runOnContext(ignored -> {
             scheduler
                     .progress()
-                    .notWritten(
+                    .onWriteFailed(
                             new ProgressLedger.Batch(0, Map.of("j", new JobProgress(JobPhase.RUNNING, 0, List.of()))));
             writer.poke();
         });
@@ -179,7 +179,7 @@
             scheduler.load(job("k" + i), null, false, 1);
             progress.put("k" + i, new JobProgress(JobPhase.RUNNING, 0, List.of()));
         }
-        scheduler.progress().notWritten(new ProgressLedger.Batch(0, progress));
+        scheduler.progress().onWriteFailed(new ProgressLedger.Batch(0, progress));
     }
 
     /** Waits until the condition holds on the event loop of the writer. */
--- a/library/src/test/java/io/radishspindle/pool/runtime/StoredJobsTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/StoredJobsTest.java
@@ -52,7 +52,7 @@
 
         // then
         assertThat(scheduler.phase("j")).contains(JobPhase.QUEUED);
-        assertThat(scheduler.openJobs()).isEqualTo(1);
+        assertThat(scheduler.unfinishedJobs()).isEqualTo(1);
     }
 
     @ParameterizedTest
@@ -82,7 +82,7 @@
 
         // then
         assertThat(scheduler.phase("j")).contains(JobPhase.CANCELLED);
-        assertThat(scheduler.openJobs()).isZero();
+        assertThat(scheduler.unfinishedJobs()).isZero();
     }
 
     /** Items of the release before hold the whole job after its end. */
