--- a/benchmarks/src/main/java/io/radishspindle/bench/routing/CoreRouter.java
+++ b/benchmarks/src/main/java/io/radishspindle/bench/routing/CoreRouter.java
@@ -8,7 +8,7 @@
 import io.radishspindle.routing.RoutingAction;
 import io.radishspindle.routing.RoutingCore;
 import io.radishspindle.routing.RoutingEvent;
-import io.radishspindle.routing.RoutingLimits;
+import io.radishspindle.routing.RoutingOptions;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -36,7 +36,7 @@
 
         Vm(int index, long seed) {
             this.index = index;
-            core = new RoutingCore(limits, seed);
+            core = new RoutingCore(options, seed);
         }
 
         void feed(RoutingEvent event) {
@@ -114,12 +114,12 @@
     }
 
     private final ReplayWorld world;
-    private final RoutingLimits limits;
+    private final RoutingOptions options;
     private final List<Vm> vms = new ArrayList<>();
 
-    CoreRouter(ReplayWorld world, RoutingLimits limits, long seed) {
+    CoreRouter(ReplayWorld world, RoutingOptions options, long seed) {
         this.world = world;
-        this.limits = limits;
+        this.options = options;
         for (int i = 0; i < world.vms(); i++) {
             vms.add(new Vm(i, seed + i));
         }
@@ -143,7 +143,7 @@
 
     private void tick(Vm vm) {
         vm.feed(new RoutingEvent.Tick());
-        world.after(RoutingLimits.TICK_MS, () -> tick(vm));
+        world.after(RoutingOptions.TICK_MS, () -> tick(vm));
     }
 
     private void refreshView(Vm vm) {
@@ -172,8 +172,8 @@
     }
 
     private long hopMs(int from, int to) {
-        String fromRegion = limits.regions().get(world.vmDataCentre(from));
-        String toRegion = limits.regions().get(world.vmDataCentre(to));
+        String fromRegion = options.regions().get(world.vmDataCentre(from));
+        String toRegion = options.regions().get(world.vmDataCentre(to));
         boolean sameRegion = fromRegion != null && fromRegion.equals(toRegion);
         return sameRegion ? ReplayWorld.HOP_MS : ReplayWorld.REGION_HOP_MS;
     }
--- a/benchmarks/src/main/java/io/radishspindle/bench/routing/RoutingReplay.java
+++ b/benchmarks/src/main/java/io/radishspindle/bench/routing/RoutingReplay.java
@@ -1,7 +1,7 @@
 package io.radishspindle.bench.routing;
 
 import io.radishspindle.routing.RequestClass;
-import io.radishspindle.routing.RoutingLimits;
+import io.radishspindle.routing.RoutingOptions;
 import io.radishspindle.routing.Safeguard;
 import io.radishspindle.settings.EntrySettings;
 import java.util.ArrayList;
@@ -78,8 +78,8 @@
 
     private static Map<String, Function<ReplayWorld, RequestRouter>> routers(long seed) {
         UniformRandomProvider random = RandomSource.SPLIT_MIX_64.create(seed);
-        RoutingLimits all = limits(EnumSet.allOf(Safeguard.class));
-        RoutingLimits oneQueue = all.without(Safeguard.CLASS_WEIGHTS).without(Safeguard.CALLER_FAIRNESS);
+        RoutingOptions all = options(EnumSet.allOf(Safeguard.class));
+        RoutingOptions oneQueue = all.without(Safeguard.CLASS_WEIGHTS).without(Safeguard.CALLER_FAIRNESS);
         Map<String, Function<ReplayWorld, RequestRouter>> routers = new LinkedHashMap<>();
         routers.put("random", world -> new OwnViewRouter(world, () -> ExecutorChoice.random(random)));
         routers.put("round-robin", world -> new OwnViewRouter(world, ExecutorChoice::roundRobin));
@@ -87,16 +87,16 @@
                 "least-connections", world -> new OwnViewRouter(world, () -> ExecutorChoice.leastConnections(random)));
         routers.put("core, one queue", world -> new CoreRouter(world, oneQueue, seed));
         routers.put("core, shared slots", world -> new CoreRouter(world, all.without(Safeguard.SLOT_SPLIT), seed));
-        RoutingLimits noReserve = all.without(Safeguard.RESERVED_SLOTS);
+        RoutingOptions noReserve = all.without(Safeguard.RESERVED_SLOTS);
         routers.put("core, no reserve", world -> new CoreRouter(world, noReserve, seed));
         routers.put("core", world -> new CoreRouter(world, all, seed));
         return routers;
     }
 
-    private static RoutingLimits limits(EnumSet<Safeguard> safeguards) {
+    private static RoutingOptions options(EnumSet<Safeguard> safeguards) {
         EntrySettings.Routing routing =
                 new EntrySettings.Routing(10_000, 60_000, 1_000, 200, 1_000_000, 3, 0.1, 50, 1_000, 30_000);
-        return new RoutingLimits(routing, REGIONS, safeguards);
+        return new RoutingOptions(routing, REGIONS, safeguards);
     }
 
     private static ReplayWorld world() {
--- a/library/src/main/java/io/radishspindle/routing/Admission.java
+++ b/library/src/main/java/io/radishspindle/routing/Admission.java
@@ -20,14 +20,14 @@
 
     private static final Decision JOIN = new Decision(null, null);
 
-    private final RoutingLimits limits;
+    private final RoutingOptions options;
     private final UniformRandomProvider random;
     private ServiceLimitsTable serviceLimits;
 
-    Admission(RoutingLimits limits, UniformRandomProvider random) {
-        this.limits = limits;
+    Admission(RoutingOptions options, UniformRandomProvider random) {
+        this.options = options;
         this.random = random;
-        this.serviceLimits = new ServiceLimitsTable(ServiceLimits.of(limits.routing()), Map.of());
+        this.serviceLimits = new ServiceLimitsTable(ServiceLimits.of(options.settings()), Map.of());
     }
 
     void update(ServiceLimitsTable table) {
@@ -48,7 +48,7 @@
         }
         double waitMs = service.expectedWaitMs(arrival.requestClass(), arrival.caller(), nowMs);
         double neededMs = waitMs == 0 ? 0 : waitMs + service.leastRunMs(arrival.caller());
-        if (neededMs > remainingMs && limits.has(Safeguard.EARLY_REFUSAL)) {
+        if (neededMs > remainingMs && options.has(Safeguard.EARLY_REFUSAL)) {
             long retryMs = jitter(neededMs - remainingMs);
             return new Decision(Refusals.waitTooLong((long) neededMs, remainingMs, retryMs), null);
         }
--- a/library/src/main/java/io/radishspindle/routing/OutcomeObserver.java
+++ b/library/src/main/java/io/radishspindle/routing/OutcomeObserver.java
@@ -9,11 +9,11 @@
 
     private static final int FIRST_SERVER_ERROR = 500;
 
-    private final RoutingLimits limits;
+    private final RoutingOptions options;
     private final RoutingStats stats;
 
-    OutcomeObserver(RoutingLimits limits, RoutingStats stats) {
-        this.limits = limits;
+    OutcomeObserver(RoutingOptions options, RoutingStats stats) {
+        this.options = options;
         this.stats = stats;
     }
 
@@ -31,7 +31,7 @@
 
     /** Notes that a probe found the executor leaving. */
     void probedLeaving(EndpointState executor, long sentAtMs, long nowMs) {
-        if (limits.has(Safeguard.LEAVING_SIGNALS)) {
+        if (options.has(Safeguard.LEAVING_SIGNALS)) {
             executor.sawLeaving(nowMs);
         } else {
             executor.sawLiveProbe(sentAtMs);
@@ -40,7 +40,7 @@
 
     /** Notes that an executor asks for no further work. */
     void signal(EndpointState executor, boolean leaving, long nowMs) {
-        if (leaving && limits.has(Safeguard.LEAVING_SIGNALS)) {
+        if (leaving && options.has(Safeguard.LEAVING_SIGNALS)) {
             executor.sawLeaving(nowMs);
         }
     }
--- a/library/src/main/java/io/radishspindle/routing/OutlierDetector.java
+++ b/library/src/main/java/io/radishspindle/routing/OutlierDetector.java
@@ -28,10 +28,10 @@
     private final boolean enabled;
     private final RoutingStats stats;
 
-    OutlierDetector(Collection<EndpointState> executors, RoutingLimits limits, RoutingStats stats) {
+    OutlierDetector(Collection<EndpointState> executors, RoutingOptions options, RoutingStats stats) {
         this.executors = executors;
         this.stats = stats;
-        enabled = limits.has(Safeguard.OUTLIER_EJECTION);
+        enabled = options.has(Safeguard.OUTLIER_EJECTION);
     }
 
     /**
--- a/library/src/main/java/io/radishspindle/routing/PeerResponder.java
+++ b/library/src/main/java/io/radishspindle/routing/PeerResponder.java
@@ -19,7 +19,7 @@
 
     @Override
     public Future<Void> answer(ServiceResponse response) {
-        if (response.body().length() > RoutingLimits.MAX_FORWARD_BODY_BYTES) {
+        if (response.body().length() > RoutingOptions.MAX_FORWARD_BODY_BYTES) {
             String message = "an answer of " + response.body().length() + " bytes can't be passed between entry VMs";
             promise.tryComplete(
                     Either.left(new Failure(ErrorCode.OUTCOME_UNKNOWN, "routing.forwarded", "", message, false, 0)));
--- a/library/src/main/java/io/radishspindle/routing/PeerTable.java
+++ b/library/src/main/java/io/radishspindle/routing/PeerTable.java
@@ -46,13 +46,13 @@
         }
     }
 
-    private final RoutingLimits limits;
+    private final RoutingOptions options;
     private final UniformRandomProvider random;
     private final Map<String, Peer> peers = new TreeMap<>();
     private String ownDataCentre = "";
 
-    PeerTable(RoutingLimits limits, UniformRandomProvider random) {
-        this.limits = limits;
+    PeerTable(RoutingOptions options, UniformRandomProvider random) {
+        this.options = options;
         this.random = random;
     }
 
@@ -96,16 +96,16 @@
     @Nullable
     String select(Request request, double expectedWaitMs, double ownBacklog) {
         int bytes = request.arrival.bodyBytes();
-        if (bytes > RoutingLimits.MAX_FORWARD_BODY_BYTES) {
+        if (bytes > RoutingOptions.MAX_FORWARD_BODY_BYTES) {
             return null;
         }
-        boolean bulk = request.requestClass() == RequestClass.BULK && limits.has(Safeguard.RESERVED_SLOTS);
+        boolean bulk = request.requestClass() == RequestClass.BULK && options.has(Safeguard.RESERVED_SLOTS);
         Peer peer = choose(bulk, p -> p.dataCentre.equals(ownDataCentre));
         if (peer == null) {
             peer = choose(bulk, p -> !p.dataCentre.equals(ownDataCentre) && isSameRegion(p));
         }
-        boolean worthIt = expectedWaitMs > limits.routing().remoteWorthItMs();
-        if (peer == null && worthIt && bytes <= RoutingLimits.MAX_REMOTE_BODY_BYTES) {
+        boolean worthIt = expectedWaitMs > options.settings().remoteWorthItMs();
+        if (peer == null && worthIt && bytes <= RoutingOptions.MAX_REMOTE_BODY_BYTES) {
             peer = choose(bulk, p -> !isSameRegion(p));
         }
         if (peer == null) {
@@ -146,7 +146,7 @@
     }
 
     private boolean isSameRegion(Peer peer) {
-        return limits.regionOf(peer.dataCentre).equals(limits.regionOf(ownDataCentre));
+        return options.regionOf(peer.dataCentre).equals(options.regionOf(ownDataCentre));
     }
 
     private static boolean isUsable(EntryVm vm, MembershipView view) {
--- a/library/src/main/java/io/radishspindle/routing/RequestQueue.java
+++ b/library/src/main/java/io/radishspindle/routing/RequestQueue.java
@@ -45,10 +45,10 @@
     private int size;
     private double virtualNow;
 
-    RequestQueue(CallerCosts costs, RoutingLimits limits) {
+    RequestQueue(CallerCosts costs, RoutingOptions options) {
         this.costs = costs;
-        weighted = limits.has(Safeguard.CLASS_WEIGHTS);
-        fair = limits.has(Safeguard.CALLER_FAIRNESS);
+        weighted = options.has(Safeguard.CLASS_WEIGHTS);
+        fair = options.has(Safeguard.CALLER_FAIRNESS);
         for (RequestClass requestClass : RequestClass.values()) {
             classes.put(requestClass, new ClassQueue());
         }
--- a/library/src/main/java/io/radishspindle/routing/RequestService.java
+++ b/library/src/main/java/io/radishspindle/routing/RequestService.java
@@ -69,7 +69,7 @@
         this.keyed = keyed;
         limits = settings.routing();
         context = vertx.getOrCreateContext();
-        RoutingCore core = new RoutingCore(RoutingLimits.of(settings), RandomSource.createLong());
+        RoutingCore core = new RoutingCore(RoutingOptions.of(settings), RandomSource.createLong());
         runtime = new RoutingRuntime(vertx, context, clock, executors, peers, core, metrics);
         bodies = new BodyReader(vertx, limits.maxBodyBytes());
     }
--- a/library/src/main/java/io/radishspindle/routing/RetryBudget.java
+++ b/library/src/main/java/io/radishspindle/routing/RetryBudget.java
@@ -8,8 +8,8 @@
     private final boolean limited;
     private double tokens = RESERVE;
 
-    RetryBudget(RoutingLimits limits) {
-        limited = limits.has(Safeguard.RETRY_BUDGET);
+    RetryBudget(RoutingOptions options) {
+        limited = options.has(Safeguard.RETRY_BUDGET);
     }
 
     /** @param share retries as a share of the requests */
--- a/library/src/main/java/io/radishspindle/routing/RoutingCore.java
+++ b/library/src/main/java/io/radishspindle/routing/RoutingCore.java
@@ -28,7 +28,7 @@
     private static final Failure BUSY =
             Failure.retryable(ErrorCode.OVERLOADED, Refusals.STEP, "", "executor is busy", Refusals.DEFAULT_RETRY_MS);
 
-    private final RoutingLimits limits;
+    private final RoutingOptions options;
     private final Map<Long, Request> requests = new HashMap<>();
     private final PriorityQueue<Request> deadlines =
             new PriorityQueue<>(Comparator.comparingLong(Request::deadlineAtMs).thenComparingLong(Request::id));
@@ -41,12 +41,12 @@
     private boolean ready;
     private long drainAtMs = Long.MAX_VALUE;
 
-    public RoutingCore(RoutingLimits limits, long seed) {
-        this.limits = limits;
+    public RoutingCore(RoutingOptions options, long seed) {
+        this.options = options;
         UniformRandomProvider random = RandomSource.SPLIT_MIX_64.create(seed);
-        services = new ServiceTable(limits, random, stats);
-        admission = new Admission(limits, random);
-        observer = new OutcomeObserver(limits, stats);
+        services = new ServiceTable(options, random, stats);
+        admission = new Admission(options, random);
+        observer = new OutcomeObserver(options, stats);
     }
 
     /** Handles an event at {@code nowMs} of a monotonic clock and returns what is to be done, in order. */
@@ -143,7 +143,7 @@
             if (request == null) {
                 return;
             }
-            if (limits.has(Safeguard.EARLY_REFUSAL) && service.isTooLate(request, nowMs)) {
+            if (options.has(Safeguard.EARLY_REFUSAL) && service.isTooLate(request, nowMs)) {
                 service.queue.remove(request);
                 expireQueued(service, request);
                 continue;
@@ -193,7 +193,7 @@
         Request request = requests.get(event.requestId());
         boolean matches = request != null
                 && request.phase != Phase.QUEUED
-                && (request.attempt == event.attempt() || !limits.has(Safeguard.ATTEMPT_MATCHING));
+                && (request.attempt == event.attempt() || !options.has(Safeguard.ATTEMPT_MATCHING));
         if (request == null || !matches) {
             stats.unexpectedAnswers.increment();
             return;
@@ -255,7 +255,7 @@
 
     /** A forwarded request is repeated by the VM that has the caller, or the attempts of both would multiply. */
     private void retryBroken(ServiceState service, Request request, Failure cause) {
-        boolean safe = request.arrival.idempotent() || !limits.has(Safeguard.SAFE_RETRY);
+        boolean safe = request.arrival.idempotent() || !options.has(Safeguard.SAFE_RETRY);
         if (request.callerGone) {
             abandon(request);
         } else if (safe
@@ -275,7 +275,7 @@
             // Peers use the slots of a draining VM already, so "busy" must not end its last requests.
             return true;
         }
-        return request.sends < limits.routing().maxAttempts() && service.retryBudget.tryRetry();
+        return request.sends < options.settings().maxAttempts() && service.retryBudget.tryRetry();
     }
 
     private void requeue(ServiceState service, Request request) {
@@ -290,7 +290,7 @@
 
     private void callerGone(long requestId) {
         Request request = requests.get(requestId);
-        if (request == null || !limits.has(Safeguard.CALLER_GONE)) {
+        if (request == null || !options.has(Safeguard.CALLER_GONE)) {
             return;
         }
         request.callerGone = true;
@@ -327,7 +327,7 @@
         expire();
         for (ServiceState service : services.all()) {
             for (EndpointState executor : service.executors()) {
-                executor.nextProbe(nowMs, limits.routing().probeMs()).ifPresent(actions::add);
+                executor.nextProbe(nowMs, options.settings().probeMs()).ifPresent(actions::add);
             }
             dispatch(service);
         }
@@ -356,7 +356,7 @@
 
     private void drain() {
         drainAtMs = nowMs;
-        if (limits.has(Safeguard.DRAIN_WAIT)) {
+        if (options.has(Safeguard.DRAIN_WAIT)) {
             return;
         }
         for (Request request : List.copyOf(requests.values())) {
@@ -385,7 +385,7 @@
     }
 
     private boolean isNotRun(Request request) {
-        return !request.mayHaveRun || !limits.has(Safeguard.NOT_RUN_TRACKING);
+        return !request.mayHaveRun || !options.has(Safeguard.NOT_RUN_TRACKING);
     }
 
     private Failure withHistory(Request request, Failure failure) {
--- a/library/src/main/java/io/radishspindle/routing/RoutingEvent.java
+++ b/library/src/main/java/io/radishspindle/routing/RoutingEvent.java
@@ -45,7 +45,7 @@
     /** The fleet configuration changed the limits of services. */
     record LimitsChanged(ServiceLimitsTable limits) implements RoutingEvent {}
 
-    /** Time has passed; sent every {@link RoutingLimits#TICK_MS}. */
+    /** Time has passed; sent every {@link RoutingOptions#TICK_MS}. */
     record Tick() implements RoutingEvent {}
 
     /** New requests are refused from now on. */
--- a/library/src/main/java/io/radishspindle/routing/RoutingLimits.java
+++ b/library/src/main/java/io/radishspindle/routing/RoutingOptions.java
@@ -7,12 +7,12 @@
 import java.util.Set;
 
 /**
- * Limits of a {@link RoutingCore}. Immutable and thread-safe.
+ * Options of a {@link RoutingCore}. Immutable and thread-safe.
  *
  * @param regions region of each data centre
  * @param safeguards mechanisms in force
  */
-public record RoutingLimits(EntrySettings.Routing routing, Map<String, String> regions, Set<Safeguard> safeguards) {
+public record RoutingOptions(EntrySettings.Routing settings, Map<String, String> regions, Set<Safeguard> safeguards) {
     /** Time between ticks, in milliseconds; bounds how late a passed deadline is noticed. */
     public static final long TICK_MS = 10;
     /** The same while no request is pending; each tick of an idle VM costs about 0.1 ms of processor time. */
@@ -26,13 +26,13 @@
     /** The same for a VM that has no slot of the service, where waiting is pointless. */
     static final int MAX_FORWARDS_WITHOUT_SLOTS = 20;
 
-    public RoutingLimits {
+    public RoutingOptions {
         regions = Map.copyOf(regions);
         safeguards = Set.copyOf(safeguards);
     }
 
     /** The limits of a VM, with all mechanisms in force. */
-    public static RoutingLimits of(EntrySettings settings) {
+    public static RoutingOptions of(EntrySettings settings) {
         Map<String, String> regions = new HashMap<>();
         for (String entry : settings.peers().regions()) {
             int colon = entry.indexOf(':');
@@ -40,15 +40,15 @@
                 regions.put(entry.substring(0, colon), entry.substring(colon + 1));
             }
         }
-        return new RoutingLimits(settings.routing(), regions, EnumSet.allOf(Safeguard.class));
+        return new RoutingOptions(settings.routing(), regions, EnumSet.allOf(Safeguard.class));
     }
 
     /** The same limits without one mechanism. */
-    public RoutingLimits without(Safeguard safeguard) {
+    public RoutingOptions without(Safeguard safeguard) {
         Set<Safeguard> others = EnumSet.allOf(Safeguard.class);
         others.retainAll(safeguards);
         others.remove(safeguard);
-        return new RoutingLimits(routing, regions, others);
+        return new RoutingOptions(settings, regions, others);
     }
 
     boolean has(Safeguard safeguard) {
--- a/library/src/main/java/io/radishspindle/routing/RoutingRuntime.java
+++ b/library/src/main/java/io/radishspindle/routing/RoutingRuntime.java
@@ -98,7 +98,7 @@
             return;
         }
         vertx.cancelTimer(timer);
-        long delayMs = pending.isEmpty() ? RoutingLimits.IDLE_TICK_MS : RoutingLimits.TICK_MS;
+        long delayMs = pending.isEmpty() ? RoutingOptions.IDLE_TICK_MS : RoutingOptions.TICK_MS;
         timer = vertx.setTimer(
                 delayMs,
                 id -> context.runOnContext(v -> {
--- a/library/src/main/java/io/radishspindle/routing/ServiceState.java
+++ b/library/src/main/java/io/radishspindle/routing/ServiceState.java
@@ -22,21 +22,21 @@
     final OutlierDetector outliers;
     final PeerTable peers;
     final SlotReserve reserve;
-    private final RoutingLimits limits;
+    private final RoutingOptions options;
     private final UniformRandomProvider random;
     private final Map<String, EndpointState> executors = new TreeMap<>();
     private boolean known;
     private long usableAtMs = Long.MIN_VALUE;
 
-    ServiceState(String name, RoutingLimits limits, UniformRandomProvider random, RoutingStats stats) {
+    ServiceState(String name, RoutingOptions options, UniformRandomProvider random, RoutingStats stats) {
         this.name = name;
-        this.limits = limits;
+        this.options = options;
         this.random = random;
-        queue = new RequestQueue(costs, limits);
-        retryBudget = new RetryBudget(limits);
-        outliers = new OutlierDetector(executors.values(), limits, stats);
-        peers = new PeerTable(limits, random);
-        reserve = new SlotReserve(limits);
+        queue = new RequestQueue(costs, options);
+        retryBudget = new RetryBudget(options);
+        outliers = new OutlierDetector(executors.values(), options, stats);
+        peers = new PeerTable(options, random);
+        reserve = new SlotReserve(options);
     }
 
     /** Takes over a view; {@code endpoints} are those of this service in all data centres. */
@@ -60,7 +60,7 @@
         }
         state.endpoint = endpoint;
         state.listed = true;
-        boolean split = limits.has(Safeguard.SLOT_SPLIT);
+        boolean split = options.has(Safeguard.SLOT_SPLIT);
         state.assignedSlots = split ? slots.slots(endpoint, self) : endpoint.slots();
         state.connectionShare = split ? slots.connectionShare(endpoint) : endpoint.connections();
     }
@@ -131,9 +131,9 @@
 
     @Nullable
     String forwardTarget(Request request, long nowMs) {
-        boolean mayHop = request.arrival.hops() == 0 || !limits.has(Safeguard.HOP_LIMIT);
+        boolean mayHop = request.arrival.hops() == 0 || !options.has(Safeguard.HOP_LIMIT);
         int slots = capacity(nowMs);
-        int maxForwards = slots == 0 ? RoutingLimits.MAX_FORWARDS_WITHOUT_SLOTS : RoutingLimits.MAX_FORWARDS;
+        int maxForwards = slots == 0 ? RoutingOptions.MAX_FORWARDS_WITHOUT_SLOTS : RoutingOptions.MAX_FORWARDS;
         if (!mayHop || request.forwards >= maxForwards) {
             return null;
         }
@@ -154,7 +154,7 @@
 
     /** True if a request that has waited is unlikely to be answered in time, so that its slot would be wasted. */
     boolean isTooLate(Request request, long nowMs) {
-        boolean waited = nowMs > request.arrival.acceptedAtMs() + RoutingLimits.TICK_MS;
+        boolean waited = nowMs > request.arrival.acceptedAtMs() + RoutingOptions.TICK_MS;
         return waited && nowMs + leastRunMs(request.caller()) > request.deadlineAtMs();
     }
 
--- a/library/src/main/java/io/radishspindle/routing/ServiceTable.java
+++ b/library/src/main/java/io/radishspindle/routing/ServiceTable.java
@@ -14,15 +14,15 @@
 
 /** All services, in the order of their names. Belongs to one {@link RoutingCore}; not thread-safe. */
 final class ServiceTable {
-    private final RoutingLimits limits;
+    private final RoutingOptions options;
     private final UniformRandomProvider random;
     private final RoutingStats stats;
     private final Map<String, ServiceState> services = new TreeMap<>();
     private final SlotTable slots = new SlotTable();
 
-    ServiceTable(RoutingLimits limits, UniformRandomProvider random, RoutingStats stats) {
+    ServiceTable(RoutingOptions options, UniformRandomProvider random, RoutingStats stats) {
         this.stats = stats;
-        this.limits = limits;
+        this.options = options;
         this.random = random;
     }
 
@@ -51,7 +51,7 @@
             byService
                     .computeIfAbsent(endpoint.service(), name -> new ArrayList<>())
                     .add(endpoint);
-            services.computeIfAbsent(endpoint.service(), name -> new ServiceState(name, limits, random, stats));
+            services.computeIfAbsent(endpoint.service(), name -> new ServiceState(name, options, random, stats));
         }
         for (ServiceState service : services.values()) {
             service.update(view, byService.getOrDefault(service.name, List.of()), slots);
--- a/library/src/main/java/io/radishspindle/routing/SlotReserve.java
+++ b/library/src/main/java/io/radishspindle/routing/SlotReserve.java
@@ -16,8 +16,8 @@
     private final boolean enabled;
     private long activeUntilMs = Long.MIN_VALUE;
 
-    SlotReserve(RoutingLimits limits) {
-        enabled = limits.has(Safeguard.RESERVED_SLOTS);
+    SlotReserve(RoutingOptions options) {
+        enabled = options.has(Safeguard.RESERVED_SLOTS);
     }
 
     void arrived(RequestClass requestClass, long nowMs) {
--- a/library/src/test/java/io/radishspindle/routing/CoreDriver.java
+++ b/library/src/test/java/io/radishspindle/routing/CoreDriver.java
@@ -22,13 +22,13 @@
     long nowMs = 1_000;
     private long nextId;
 
-    CoreDriver(RoutingLimits limits) {
-        core = new RoutingCore(limits, 7);
+    CoreDriver(RoutingOptions options) {
+        core = new RoutingCore(options, 7);
     }
 
     /** One VM with executors of the given slots. */
-    static CoreDriver alone(RoutingLimits limits, int... slots) {
-        CoreDriver driver = new CoreDriver(limits);
+    static CoreDriver alone(RoutingOptions options, int... slots) {
+        CoreDriver driver = new CoreDriver(options);
         List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < slots.length; i++) {
             endpoints.add(Routings.endpoint("e" + i, "dc1", 1, slots[i]));
@@ -59,7 +59,7 @@
     void advance(long durationMs) {
         long endMs = nowMs + durationMs;
         while (nowMs < endMs) {
-            nowMs = Math.min(endMs, nowMs + RoutingLimits.TICK_MS);
+            nowMs = Math.min(endMs, nowMs + RoutingOptions.TICK_MS);
             tick();
         }
     }
--- a/library/src/test/java/io/radishspindle/routing/RoutingCoreTest.java
+++ b/library/src/test/java/io/radishspindle/routing/RoutingCoreTest.java
@@ -22,12 +22,12 @@
 
 /** Single mechanisms of the core, in virtual time. */
 class RoutingCoreTest {
-    private static final RoutingLimits LIMITS = Routings.limits();
+    private static final RoutingOptions OPTIONS = Routings.options();
     private static final List<Endpoint> ONE_SLOT = List.of(Routings.endpoint("e0", "dc1", 1, 1));
 
     @Test
     void should_use_no_more_slots_than_the_executor_has() {
-        CoreDriver vm = CoreDriver.alone(LIMITS, 2, 1);
+        CoreDriver vm = CoreDriver.alone(OPTIONS, 2, 1);
         for (int i = 0; i < 10; i++) {
             vm.arrive("shop");
         }
@@ -62,7 +62,7 @@
     @Test
     void should_share_slots_between_classes_by_weight() {
         // given
-        CoreDriver vm = CoreDriver.alone(LIMITS, 1);
+        CoreDriver vm = CoreDriver.alone(OPTIONS, 1);
         long running = vm.arrive("z");
         Map<Long, RequestClass> classes = new HashMap<>();
         for (int i = 0; i < 30; i++) {
@@ -84,7 +84,7 @@
     @CsvSource({"true, 3", "false, 101"})
     void should_serve_other_callers_beside_a_burst(boolean fair, int atMost) {
         // given
-        CoreDriver vm = CoreDriver.alone(fair ? LIMITS : LIMITS.without(Safeguard.CALLER_FAIRNESS), 1);
+        CoreDriver vm = CoreDriver.alone(fair ? OPTIONS : OPTIONS.without(Safeguard.CALLER_FAIRNESS), 1);
         long running = vm.arrive("z");
         for (int i = 0; i < 100; i++) {
             vm.arrive("burst");
@@ -99,7 +99,7 @@
     @Test
     void should_charge_callers_for_slot_time() {
         // given: requests of "slow" take ten times as long as those of "quick"
-        CoreDriver vm = CoreDriver.alone(LIMITS, 1);
+        CoreDriver vm = CoreDriver.alone(OPTIONS, 1);
         for (int i = 0; i < 40; i++) {
             long id = vm.arrive(i % 2 == 0 ? "slow" : "quick");
             vm.nowMs += i % 2 == 0 ? 100 : 10;
@@ -120,7 +120,7 @@
     @Test
     void should_refuse_at_once_when_wait_exceeds_deadline() {
         // given: one slot, 100 ms each
-        CoreDriver vm = CoreDriver.alone(LIMITS, 1);
+        CoreDriver vm = CoreDriver.alone(OPTIONS, 1);
         for (int i = 0; i < 20; i++) {
             long id = vm.arrive("shop");
             vm.nowMs += 100;
@@ -143,7 +143,7 @@
     @Test
     void should_bound_queue_per_caller_and_give_up_bulk_for_interactive() {
         // given
-        CoreDriver vm = CoreDriver.alone(LIMITS, 1);
+        CoreDriver vm = CoreDriver.alone(OPTIONS, 1);
         vm.arrive("z", NORMAL, true, 60_000);
         for (int i = 0; i < 1_000; i++) {
             vm.arrive("batch" + i / 200, BULK, true, 60_000);
@@ -159,7 +159,7 @@
     @Test
     void should_free_place_of_caller_that_is_gone_and_not_repeat_its_running_request() {
         // given
-        CoreDriver vm = CoreDriver.alone(LIMITS, 1, 1);
+        CoreDriver vm = CoreDriver.alone(OPTIONS, 1, 1);
         long first = vm.arrive("shop");
         vm.arrive("shop");
         long queued = vm.arrive("shop");
@@ -178,8 +178,8 @@
     @CsvSource({"true, 1.15", "false, 3.0"})
     void should_limit_retries_of_a_failing_service(boolean budget, double sendsPerRequest) {
         // given
-        RoutingLimits limits = budget ? LIMITS : LIMITS.without(Safeguard.RETRY_BUDGET);
-        CoreDriver vm = CoreDriver.alone(limits.without(Safeguard.OUTLIER_EJECTION), 8, 8, 8);
+        RoutingOptions options = budget ? OPTIONS : OPTIONS.without(Safeguard.RETRY_BUDGET);
+        CoreDriver vm = CoreDriver.alone(options.without(Safeguard.OUTLIER_EJECTION), 8, 8, 8);
         // when
         for (int i = 0; i < 1_000; i++) {
             long id = vm.arrive("shop" + i);
@@ -192,8 +192,8 @@
     }
 
     /** Counts requests that meet a broken executor among three while it fails for 10 s. */
-    private static long meetings(RoutingLimits limits) {
-        CoreDriver vm = CoreDriver.alone(limits, 4, 4, 4);
+    private static long meetings(RoutingOptions options) {
+        CoreDriver vm = CoreDriver.alone(options, 4, 4, 4);
         long broken = 0;
         for (int i = 0; i < 1_000; i++) {
             long id = vm.arrive("shop" + i, NORMAL, false, 10_000);
@@ -207,14 +207,14 @@
 
     @Test
     void should_eject_broken_executor() {
-        assertThat(meetings(LIMITS)).isLessThan(15);
-        assertThat(meetings(LIMITS.without(Safeguard.OUTLIER_EJECTION))).isGreaterThan(250);
+        assertThat(meetings(OPTIONS)).isLessThan(15);
+        assertThat(meetings(OPTIONS.without(Safeguard.OUTLIER_EJECTION))).isGreaterThan(250);
     }
 
     @Test
     void should_eject_at_most_half_and_return_one_slot_at_a_time() {
         // given
-        CoreDriver vm = CoreDriver.alone(LIMITS, 4, 4);
+        CoreDriver vm = CoreDriver.alone(OPTIONS, 4, 4);
         for (int i = 0; i < 40; i++) {
             vm.complete(vm.arrive("shop" + i, NORMAL, false, 10_000), CoreDriver.broken());
         }
@@ -228,7 +228,7 @@
     @Test
     void should_eject_slow_executor() {
         // given
-        CoreDriver vm = CoreDriver.alone(LIMITS, 4, 4, 4);
+        CoreDriver vm = CoreDriver.alone(OPTIONS, 4, 4, 4);
         // when
         for (int i = 0; i < 90; i++) {
             long id = vm.arrive("shop" + i);
@@ -243,7 +243,7 @@
 
     @Test
     void should_not_blame_executor_for_errors_of_one_caller() {
-        CoreDriver vm = CoreDriver.alone(LIMITS, 4, 4);
+        CoreDriver vm = CoreDriver.alone(OPTIONS, 4, 4);
         for (int i = 0; i < 50; i++) {
             vm.complete(vm.arrive("poison"), new AttemptOutcome.Answered(500, false));
         }
@@ -253,7 +253,7 @@
     @Test
     void should_send_nothing_to_leaving_endpoint_until_two_live_probes() {
         // given
-        CoreDriver vm = CoreDriver.alone(LIMITS, 4);
+        CoreDriver vm = CoreDriver.alone(OPTIONS, 4);
         vm.complete(vm.arrive("shop"), new AttemptOutcome.Answered(200, true));
         // then
         assertThat(vm.core.leavingEndpoints()).containsExactly("e0");
@@ -266,7 +266,7 @@
     @Test
     void should_stop_new_work_after_two_missed_probes() {
         // given
-        CoreDriver vm = CoreDriver.alone(LIMITS, 4);
+        CoreDriver vm = CoreDriver.alone(OPTIONS, 4);
         vm.probes = endpoint -> ProbeResult.MISSED;
         // when
         vm.advance(2_600);
@@ -276,7 +276,7 @@
     }
 
     private static CoreDriver withPeers(ServiceLoad load, String dataCentre) {
-        CoreDriver vm = new CoreDriver(LIMITS);
+        CoreDriver vm = new CoreDriver(OPTIONS);
         EntryVm peer = Routings.vm("vm9", dataCentre, load);
         Endpoint theirs = Routings.endpoint("e9", dataCentre, 1, 8);
         List<Endpoint> endpoints = new ArrayList<>(ONE_SLOT);
@@ -326,7 +326,7 @@
     @Test
     void should_claim_not_run_only_if_no_attempt_can_have_run() {
         // given
-        CoreDriver vm = CoreDriver.alone(LIMITS, 1, 1);
+        CoreDriver vm = CoreDriver.alone(OPTIONS, 1, 1);
         long broken = vm.arrive("shop");
         vm.complete(broken, CoreDriver.broken());
         // when
@@ -339,7 +339,7 @@
     @Test
     void should_finish_accepted_requests_and_refuse_new_ones_during_drain() {
         // given
-        CoreDriver vm = CoreDriver.alone(LIMITS, 1);
+        CoreDriver vm = CoreDriver.alone(OPTIONS, 1);
         long running = vm.arrive("shop");
         long queued = vm.arrive("shop");
         // when
--- a/library/src/test/java/io/radishspindle/routing/RoutingSimulation.java
+++ b/library/src/test/java/io/radishspindle/routing/RoutingSimulation.java
@@ -46,21 +46,21 @@
     final Map<String, Long> leavingAtMs = new TreeMap<>();
     private final UniformRandomProvider random;
     private final SimFaults faults;
-    private final RoutingLimits limits;
+    private final RoutingOptions options;
     private long calls;
     final Map<Long, Integer> forwards = new TreeMap<>();
 
-    RoutingSimulation(long seed, RoutingLimits limits, SimFaults faults) {
+    RoutingSimulation(long seed, RoutingOptions options, SimFaults faults) {
         random = RandomSource.SPLIT_MIX_64.create(seed);
         this.faults = faults;
-        this.limits = limits;
+        this.options = options;
         FakeStore store = new FakeStore(time, random);
         store.loseAnswer = faults.loseStoreAnswer();
         for (int i = 0; i < DATA_CENTRES.size(); i++) {
             String dataCentre = DATA_CENTRES.get(i);
             Endpoint endpoint = Routings.endpoint("e" + i, dataCentre, 1, 4);
             executors.put(endpoint.id(), new SimExecutor(endpoint, time, random, history, faults));
-            RoutingCore core = new RoutingCore(limits, random.nextLong());
+            RoutingCore core = new RoutingCore(options, random.nextLong());
             SimVm vm = new SimVm("vm" + i, dataCentre, core, this, VirtualKeyedRequests.create(time, store));
             vms.put(vm.id, vm);
         }
@@ -101,7 +101,7 @@
             time.after(1, () -> reply.accept(new AttemptOutcome.Failed(SimVm.unreachable(to.id)), NONE));
             return;
         }
-        long delayMs = limits.regionOf(from.dataCentre).equals(limits.regionOf(to.dataCentre)) ? 1 : 8;
+        long delayMs = options.regionOf(from.dataCentre).equals(options.regionOf(to.dataCentre)) ? 1 : 8;
         if (random.nextDouble() < faults.loseForward()) {
             return;
         }
@@ -150,7 +150,7 @@
     private void tick(SimVm vm) {
         if (!vm.ended) {
             vm.feed(new RoutingEvent.Tick());
-            time.after(RoutingLimits.TICK_MS, () -> tick(vm));
+            time.after(RoutingOptions.TICK_MS, () -> tick(vm));
         }
     }
 
--- a/library/src/test/java/io/radishspindle/routing/RoutingSimulationTest.java
+++ b/library/src/test/java/io/radishspindle/routing/RoutingSimulationTest.java
@@ -13,15 +13,15 @@
     private static final double CALLS_PER_SECOND = 250;
     private static final long DURATION_MS = 20_000;
 
-    private static RoutingSimulation run(long seed, RoutingLimits limits) {
-        return new RoutingSimulation(seed, limits, SimFaults.ALL).run(CALLS_PER_SECOND, DURATION_MS);
+    private static RoutingSimulation run(long seed, RoutingOptions options) {
+        return new RoutingSimulation(seed, options, SimFaults.ALL).run(CALLS_PER_SECOND, DURATION_MS);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
     void should_keep_guarantees_under_faults(long seed) {
         // when
-        RoutingSimulation cell = run(seed, Routings.limits());
+        RoutingSimulation cell = run(seed, Routings.options());
         // then
         assertThat(HistoryChecker.check(cell.history)).isEmpty();
         long answered = cell.history.events().stream()
@@ -41,7 +41,7 @@
     })
     void should_break_guarantee_without_mechanism(Safeguard safeguard, String guarantee) {
         // when
-        List<String> violations = HistoryChecker.check(run(1, Routings.limits().without(safeguard)).history);
+        List<String> violations = HistoryChecker.check(run(1, Routings.options().without(safeguard)).history);
         // then
         assertThat(violations).anyMatch(violation -> violation.startsWith(guarantee));
     }
@@ -49,16 +49,16 @@
     @Test
     void should_get_fewer_busy_answers_with_split_slots() {
         // when
-        int split = busyAnswers(run(1, Routings.limits()));
-        int shared = busyAnswers(run(1, Routings.limits().without(Safeguard.SLOT_SPLIT)));
+        int split = busyAnswers(run(1, Routings.options()));
+        int shared = busyAnswers(run(1, Routings.options().without(Safeguard.SLOT_SPLIT)));
         // then
         assertThat(split).isLessThan(shared / 4);
     }
 
     @Test
     void should_give_same_history_for_same_seed() {
-        List<History.Event> first = run(3, Routings.limits()).history.events();
-        assertThat(run(3, Routings.limits()).history.events()).isEqualTo(first);
+        List<History.Event> first = run(3, Routings.options()).history.events();
+        assertThat(run(3, Routings.options()).history.events()).isEqualTo(first);
     }
 
     private static int busyAnswers(RoutingSimulation cell) {
--- a/library/src/test/java/io/radishspindle/routing/Routings.java
+++ b/library/src/test/java/io/radishspindle/routing/Routings.java
@@ -30,8 +30,8 @@
                 routing);
     }
 
-    static RoutingLimits limits() {
-        return RoutingLimits.of(settings("vm1", routing()));
+    static RoutingOptions options() {
+        return RoutingOptions.of(settings("vm1", routing()));
     }
 
     static EntryVm vm(String id, String dataCentre, ServiceLoad... loads) {
