--- a/library/src/main/java/io/radishspindle/entry/job/KeyedSubmission.java
+++ b/library/src/main/java/io/radishspindle/entry/job/KeyedSubmission.java
@@ -47,7 +47,7 @@
             if (begun.isLeft()) {
                 return Future.succeededFuture(Either.left(begun.getLeft()));
             }
-            if (begun.get() instanceof KeyedRequests.Begun.Granted granted) {
+            if (begun.get() instanceof KeyedRequests.BeginResult.Granted granted) {
                 return submit.apply(suffix).compose(result -> settle(granted.claim(), result));
             }
             return Future.succeededFuture(Either.left(repeated(begun.get(), suffix)));
@@ -81,8 +81,8 @@
                 0);
     }
 
-    private static Failure repeated(KeyedRequests.Begun begun, String suffix) {
-        String outcome = begun instanceof KeyedRequests.Begun.Finished
+    private static Failure repeated(KeyedRequests.BeginResult result, String suffix) {
+        String outcome = result instanceof KeyedRequests.BeginResult.Finished
                 ? "was accepted before"
                 : "is being submitted, or its outcome is unknown";
         return new Failure(
--- a/library/src/main/java/io/radishspindle/idempotency/AnswerCache.java
+++ b/library/src/main/java/io/radishspindle/idempotency/AnswerCache.java
@@ -4,7 +4,7 @@
 import com.github.benmanes.caffeine.cache.Caffeine;
 import io.radishspindle.error.ErrorCode;
 import io.radishspindle.error.Failure;
-import io.radishspindle.idempotency.KeyedRequests.Begun;
+import io.radishspindle.idempotency.KeyedRequests.BeginResult;
 import io.radishspindle.idempotency.KeyedRequests.KeyedRequest;
 import io.radishspindle.idempotency.KeyedRequests.StoredAnswer;
 import io.radishspindle.platform.Clock;
@@ -48,7 +48,7 @@
 
     /** What is known of the request without the store; null if nothing is. */
     @Nullable
-    Either<Failure, Begun> find(KeyedRequest request) {
+    Either<Failure, BeginResult> find(KeyedRequest request) {
         Kept kept = answers.getIfPresent(KeyHash.of(request));
         if (kept == null) {
             return null;
@@ -56,7 +56,7 @@
         if (kept.fingerprint() != request.fingerprint()) {
             return Either.left(otherRequest(request));
         }
-        return Either.right(new Begun.Finished(kept.answer().status(), Optional.of(kept.answer())));
+        return Either.right(new BeginResult.Finished(kept.answer().status(), Optional.of(kept.answer())));
     }
 
     static Failure otherRequest(KeyedRequest request) {
--- a/library/src/main/java/io/radishspindle/idempotency/BucketOperation.java
+++ b/library/src/main/java/io/radishspindle/idempotency/BucketOperation.java
@@ -3,7 +3,7 @@
 import io.radishspindle.error.ErrorCode;
 import io.radishspindle.error.Failure;
 import io.radishspindle.idempotency.BucketValue.Entry;
-import io.radishspindle.idempotency.KeyedRequests.Begun;
+import io.radishspindle.idempotency.KeyedRequests.BeginResult;
 import io.radishspindle.idempotency.KeyedRequests.Claim;
 import io.vavr.control.Either;
 import io.vertx.core.Future;
@@ -66,7 +66,7 @@
     }
 
     /** Records an intent. */
-    static final class Begin extends BucketOperation<Begun> {
+    static final class Begin extends BucketOperation<BeginResult> {
         Begin(Claim claim, long giveUpAtMs) {
             super(claim, giveUpAtMs);
         }
@@ -88,22 +88,22 @@
                         claim.claimId(),
                         BucketValue.NO_STATUS,
                         wallMs));
-                result(Either.right(new Begun.Granted(claim)));
+                result(Either.right(new BeginResult.Granted(claim)));
                 return true;
             }
             result(existing(entry));
             return false;
         }
 
-        private Either<Failure, Begun> existing(Entry entry) {
+        private Either<Failure, BeginResult> existing(Entry entry) {
             if (entry.claimId().equals(claim.claimId())) {
-                return Either.right(new Begun.Granted(claim));
+                return Either.right(new BeginResult.Granted(claim));
             }
             if (entry.fingerprint() != claim.request().fingerprint()) {
                 return Either.left(AnswerCache.otherRequest(claim.request()));
             }
             return Either.right(
-                    entry.isFinished() ? new Begun.Finished(entry.status(), Optional.empty()) : new Begun.Unresolved());
+                    entry.isFinished() ? new BeginResult.Finished(entry.status(), Optional.empty()) : new BeginResult.Unresolved());
         }
     }
 
--- a/library/src/main/java/io/radishspindle/idempotency/KeyedRequests.java
+++ b/library/src/main/java/io/radishspindle/idempotency/KeyedRequests.java
@@ -33,22 +33,22 @@
     record StoredAnswer(int status, List<Map.Entry<String, String>> headers, Buffer body) {}
 
     /** What is known of a request when it arrives. */
-    sealed interface Begun {
+    sealed interface BeginResult {
         /** The request is new and its intent is in the store. */
-        record Granted(Claim claim) implements Begun {}
+        record Granted(Claim claim) implements BeginResult {}
 
         /** The request has run; the answer is present while this VM remembers it. */
-        record Finished(int status, Optional<StoredAnswer> answer) implements Begun {}
+        record Finished(int status, Optional<StoredAnswer> answer) implements BeginResult {}
 
         /** The request is in progress, or was sent and its outcome is unknown. */
-        record Unresolved() implements Begun {}
+        record Unresolved() implements BeginResult {}
     }
 
     /**
      * Records the intent, or finds the earlier one. A failure means that nothing was sent and that no claim is held;
      * a key that was used for another request yields {@code CONFLICT}.
      */
-    Future<Either<Failure, Begun>> begin(KeyedRequest request, long deadlineAtMs);
+    Future<Either<Failure, BeginResult>> begin(KeyedRequest request, long deadlineAtMs);
 
     /** Records the outcome. If the store can't be reached in time, the intent stays and the outcome stays unknown. */
     Future<Either<Failure, Void>> complete(Claim claim, StoredAnswer answer);
--- a/library/src/main/java/io/radishspindle/idempotency/StoreKeyedRequests.java
+++ b/library/src/main/java/io/radishspindle/idempotency/StoreKeyedRequests.java
@@ -64,8 +64,8 @@
     }
 
     @Override
-    public Future<Either<Failure, Begun>> begin(KeyedRequest request, long deadlineAtMs) {
-        Either<Failure, Begun> known = answers.find(request);
+    public Future<Either<Failure, BeginResult>> begin(KeyedRequest request, long deadlineAtMs) {
+        Either<Failure, BeginResult> known = answers.find(request);
         if (known != null) {
             return Future.succeededFuture(known);
         }
--- a/library/src/main/java/io/radishspindle/routing/KeyedResponder.java
+++ b/library/src/main/java/io/radishspindle/routing/KeyedResponder.java
@@ -3,7 +3,7 @@
 import io.radishspindle.error.ErrorCode;
 import io.radishspindle.error.Failure;
 import io.radishspindle.idempotency.KeyedRequests;
-import io.radishspindle.idempotency.KeyedRequests.Begun;
+import io.radishspindle.idempotency.KeyedRequests.BeginResult;
 import io.radishspindle.idempotency.KeyedRequests.Claim;
 import io.radishspindle.idempotency.KeyedRequests.StoredAnswer;
 import io.radishspindle.platform.ExecutorClient.ServiceResponse;
@@ -49,8 +49,8 @@
     }
 
     /** Answers a request whose key is already recorded. */
-    static void repeat(Begun begun, Responder target) {
-        if (begun instanceof Begun.Finished finished) {
+    static void repeat(BeginResult result, Responder target) {
+        if (result instanceof BeginResult.Finished finished) {
             Optional<StoredAnswer> answer = finished.answer();
             if (answer.isPresent()) {
                 target.answer(toResponse(answer.get()));
--- a/library/src/main/java/io/radishspindle/routing/RequestService.java
+++ b/library/src/main/java/io/radishspindle/routing/RequestService.java
@@ -5,7 +5,7 @@
 import io.radishspindle.error.ErrorCode;
 import io.radishspindle.error.Failure;
 import io.radishspindle.idempotency.KeyedRequests;
-import io.radishspindle.idempotency.KeyedRequests.Begun;
+import io.radishspindle.idempotency.KeyedRequests.BeginResult;
 import io.radishspindle.idempotency.KeyedRequests.KeyedRequest;
 import io.radishspindle.membership.MembershipView;
 import io.radishspindle.membership.ServiceLoad;
@@ -189,13 +189,13 @@
                 }));
     }
 
-    private void recorded(RequestArrived arrival, ServiceRequest request, Begun begun, Tracked tracked) {
-        if (begun instanceof Begun.Granted granted && tracked.isGone()) {
+    private void recorded(RequestArrived arrival, ServiceRequest request, BeginResult result, Tracked tracked) {
+        if (result instanceof BeginResult.Granted granted && tracked.isGone()) {
             new KeyedResponder(keyed, granted.claim(), tracked).fail(Refusals.callerGone());
-        } else if (begun instanceof Begun.Granted granted) {
+        } else if (result instanceof BeginResult.Granted granted) {
             runtime.submit(arrival, request, new KeyedResponder(keyed, granted.claim(), tracked));
         } else {
-            KeyedResponder.repeat(begun, tracked);
+            KeyedResponder.repeat(result, tracked);
         }
     }
 
--- a/library/src/test/java/io/radishspindle/idempotency/StoreKeyedRequestsTest.java
+++ b/library/src/test/java/io/radishspindle/idempotency/StoreKeyedRequestsTest.java
@@ -4,7 +4,7 @@
 
 import io.radishspindle.error.ErrorCode;
 import io.radishspindle.error.Failure;
-import io.radishspindle.idempotency.KeyedRequests.Begun;
+import io.radishspindle.idempotency.KeyedRequests.BeginResult;
 import io.radishspindle.idempotency.KeyedRequests.Claim;
 import io.radishspindle.idempotency.KeyedRequests.KeyedRequest;
 import io.radishspindle.idempotency.KeyedRequests.StoredAnswer;
@@ -33,14 +33,14 @@
                 new BucketWriter.Environment(store, time, time, Runnable::run, 3_600_000), StoreKeyedRequests.BUCKETS);
     }
 
-    private Either<Failure, Begun> begin(StoreKeyedRequests vm, KeyedRequest request) {
-        Future<Either<Failure, Begun>> future = vm.begin(request, time.nowMs() + 10_000);
+    private Either<Failure, BeginResult> begin(StoreKeyedRequests vm, KeyedRequest request) {
+        Future<Either<Failure, BeginResult>> future = vm.begin(request, time.nowMs() + 10_000);
         time.run(10_000);
         return future.result();
     }
 
     private Claim granted(StoreKeyedRequests vm, KeyedRequest request) {
-        return ((Begun.Granted) begin(vm, request).get()).claim();
+        return ((BeginResult.Granted) begin(vm, request).get()).claim();
     }
 
     private static StoredAnswer answer(int status) {
@@ -52,9 +52,9 @@
         // given
         granted(vm(), ORDER);
         // when
-        Either<Failure, Begun> repeat = begin(vm(), ORDER);
+        Either<Failure, BeginResult> repeat = begin(vm(), ORDER);
         // then
-        assertThat(repeat.get()).isInstanceOf(Begun.Unresolved.class);
+        assertThat(repeat.get()).isInstanceOf(BeginResult.Unresolved.class);
     }
 
     @Test
@@ -64,8 +64,8 @@
         first.complete(granted(first, ORDER), answer(201));
         time.run(1_000);
         // then
-        assertThat(((Begun.Finished) begin(vm(), ORDER).get()).status()).isEqualTo(201);
-        assertThat(((Begun.Finished) begin(first, ORDER).get()).answer()).contains(answer(201));
+        assertThat(((BeginResult.Finished) begin(vm(), ORDER).get()).status()).isEqualTo(201);
+        assertThat(((BeginResult.Finished) begin(first, ORDER).get()).answer()).contains(answer(201));
     }
 
     @Test
@@ -81,7 +81,7 @@
         time.run(1_000);
         // then
         assertThat(second.claimId()).isNotEqualTo(claim.claimId());
-        assertThat(begin(vm(), ORDER).get()).isInstanceOf(Begun.Unresolved.class);
+        assertThat(begin(vm(), ORDER).get()).isInstanceOf(BeginResult.Unresolved.class);
     }
 
     @ParameterizedTest
@@ -93,7 +93,7 @@
         time.run(1_000);
         // when
         KeyedRequest other = new KeyedRequest("layout", "shop", "order-1", 43);
-        Either<Failure, Begun> result = begin(sameVm ? first : vm(), other);
+        Either<Failure, BeginResult> result = begin(sameVm ? first : vm(), other);
         // then
         assertThat(result.getLeft().code()).isEqualTo(ErrorCode.CONFLICT);
     }
@@ -103,7 +103,7 @@
         // given
         StoreKeyedRequests vm = vm();
         store.down = true;
-        Future<Either<Failure, Begun>> refused = vm.begin(ORDER, time.nowMs() + 60_000);
+        Future<Either<Failure, BeginResult>> refused = vm.begin(ORDER, time.nowMs() + 60_000);
         // when
         time.run(2_100);
         // then
@@ -111,7 +111,7 @@
         assertThat(refused.result().getLeft().notRun()).isTrue();
         store.down = false;
         time.run(5_000);
-        assertThat(begin(vm, ORDER).get()).isInstanceOf(Begun.Granted.class);
+        assertThat(begin(vm, ORDER).get()).isInstanceOf(BeginResult.Granted.class);
     }
 
     @Test
@@ -121,7 +121,7 @@
         // when
         time.run(3_600_001);
         // then
-        assertThat(begin(vm(), ORDER).get()).isInstanceOf(Begun.Granted.class);
+        assertThat(begin(vm(), ORDER).get()).isInstanceOf(BeginResult.Granted.class);
     }
 
     /** Guards against a lost answer or a late write that lets two VMs send the same request. */
@@ -175,8 +175,8 @@
         int granted;
         int mostOpenOfOneKey;
 
-        void begun(StoreKeyedRequests vm, String key, Either<Failure, Begun> result, int use) {
-            if (result.isLeft() || !(result.get() instanceof Begun.Granted grant)) {
+        void begun(StoreKeyedRequests vm, String key, Either<Failure, BeginResult> result, int use) {
+            if (result.isLeft() || !(result.get() instanceof BeginResult.Granted grant)) {
                 return;
             }
             granted++;
--- a/library/src/test/java/io/radishspindle/routing/RoutingFixture.java
+++ b/library/src/test/java/io/radishspindle/routing/RoutingFixture.java
@@ -67,7 +67,7 @@
         Failure failure = Failure.retryable(ErrorCode.STORE_UNAVAILABLE, "store.put", "store", "down", 1_000);
         return new KeyedRequests() {
             @Override
-            public Future<Either<Failure, Begun>> begin(KeyedRequest request, long deadlineAtMs) {
+            public Future<Either<Failure, BeginResult>> begin(KeyedRequest request, long deadlineAtMs) {
                 return Future.succeededFuture(Either.left(failure));
             }
 
--- a/library/src/test/java/io/radishspindle/routing/SimVm.java
+++ b/library/src/test/java/io/radishspindle/routing/SimVm.java
@@ -3,7 +3,7 @@
 import io.radishspindle.error.ErrorCode;
 import io.radishspindle.error.Failure;
 import io.radishspindle.idempotency.KeyedRequests;
-import io.radishspindle.idempotency.KeyedRequests.Begun;
+import io.radishspindle.idempotency.KeyedRequests.BeginResult;
 import io.radishspindle.idempotency.KeyedRequests.KeyedRequest;
 import io.radishspindle.platform.ExecutorClient.ServiceResponse;
 import io.radishspindle.routing.RoutingEvent.RequestArrived;
@@ -99,7 +99,7 @@
                     }
                     if (result.isLeft()) {
                         counted.fail(result.getLeft());
-                    } else if (result.get() instanceof Begun.Granted granted) {
+                    } else if (result.get() instanceof BeginResult.Granted granted) {
                         submit(call, identity, local, new KeyedResponder(keyed, granted.claim(), counted));
                     } else {
                         KeyedResponder.repeat(result.get(), counted);
