--- a/library/src/main/java/io/radishspindle/pool/model/AdvicePolicy.java
+++ b/library/src/main/java/io/radishspindle/pool/model/AdvicePolicy.java
@@ -1,7 +1,7 @@
 package io.radishspindle.pool.model;
 
 /**
- * Cost and validity of placement advice for a queue. Immutable and thread-safe.
+ * Expected duration and validity of calls to the placement advice service for a queue. Immutable and thread-safe.
  *
  * @param decisionMs fixed part of a call in milliseconds
  * @param perWorkerMs additional milliseconds for each worker named
--- a/library/src/main/java/io/radishspindle/pool/model/JobPhase.java
+++ b/library/src/main/java/io/radishspindle/pool/model/JobPhase.java
@@ -1,6 +1,6 @@
 package io.radishspindle.pool.model;
 
-/** Life cycle of a job. */
+/** Phases of a job's life cycle. Stored and reported under these names. */
 public enum JobPhase {
     QUEUED,
     RUNNING,
--- a/library/src/main/java/io/radishspindle/pool/model/JobProgress.java
+++ b/library/src/main/java/io/radishspindle/pool/model/JobProgress.java
@@ -3,9 +3,10 @@
 import java.util.List;
 
 /**
- * What must survive the loss of every VM about a job. Immutable by convention; the arrays are not copied.
+ * The progress of a job as it is stored, so that it survives the loss of every VM. Immutable by convention; the
+ * arrays are not copied.
  *
- * @param endedWallMs Unix milliseconds at which the job reached a final phase; 0 before
+ * @param endedWallMs Unix milliseconds at which the job reached a final phase; 0 while it is unfinished
  */
 public record JobProgress(JobPhase phase, long endedWallMs, List<StepProgress> steps) {
     public JobProgress {
@@ -16,8 +17,8 @@
      * Progress of one step of one occurrence.
      *
      * @param done bit set of the tasks that have succeeded
-     * @param highestAttempt highest number of a start in the step
-     * @param failures pairs of task index and attempt that ended as failed
+     * @param highestAttempt highest attempt number used for any task of the step
+     * @param failures pairs of task index and attempt number, one for each failed run
      */
     public record StepProgress(int occurrence, int step, long[] done, int highestAttempt, int[] failures) {}
 }
--- a/library/src/main/java/io/radishspindle/pool/model/PoolConfig.java
+++ b/library/src/main/java/io/radishspindle/pool/model/PoolConfig.java
@@ -4,10 +4,10 @@
 import java.util.Optional;
 
 /**
- * One version of the operators' configuration of queues and pools. Immutable and thread-safe.
+ * One version of the configuration of queues and pools that the operators set. Immutable and thread-safe.
  *
  * @param version increases with each change
- * @param maxBodyBytes largest body of a submission, in bytes
+ * @param maxBodyBytes largest accepted body of a job submission, in bytes
  */
 public record PoolConfig(long version, List<QueuePolicy> queues, List<String> pools, int maxBodyBytes) {
     public PoolConfig {
@@ -15,7 +15,7 @@
         pools = List.copyOf(pools);
     }
 
-    /** The queue with this host and the longest prefix that {@code path} begins with. */
+    /** Returns the queue of {@code host} with the longest prefix of {@code path}. */
     public Optional<QueuePolicy> queueFor(String host, String path) {
         QueuePolicy best = null;
         for (QueuePolicy queue : queues) {
--- a/library/src/main/java/io/radishspindle/pool/model/PoolJob.java
+++ b/library/src/main/java/io/radishspindle/pool/model/PoolJob.java
@@ -8,10 +8,10 @@
  *
  * @param id chosen by the caller; unique within the pool
  * @param payload passed to the worker with each start
- * @param occurrences how often the steps run, at least 1
- * @param firstStartWallMs Unix milliseconds at which occurrence 0 is due; 0 for at once
+ * @param occurrences number of times the steps run, at least 1
+ * @param firstStartWallMs Unix milliseconds at which occurrence 0 is due; 0 for immediately
  * @param periodMs milliseconds between occurrences
- * @param acceptedWallMs Unix milliseconds of the first send, as the accepting VM saw it
+ * @param acceptedWallMs Unix milliseconds of the first submission, on the clock of the accepting VM
  */
 public record PoolJob(
         String id,
@@ -32,7 +32,7 @@
         steps = List.copyOf(steps);
     }
 
-    /** The same job in another pool or slice of a pool. */
+    /** Returns this job assigned to another pool or slice of a pool. */
     public PoolJob inPool(String other) {
         return other.equals(pool)
                 ? this
--- a/library/src/main/java/io/radishspindle/pool/model/QueuePolicy.java
+++ b/library/src/main/java/io/radishspindle/pool/model/QueuePolicy.java
@@ -7,10 +7,10 @@
  *
  * @param pool name of the pool whose workers run the queue's tasks
  * @param priority 0 is the most urgent; lower values may preempt higher ones
- * @param maxAttempts runs of a task that may end as failed before the job fails
- * @param slowdownFactor share of the objective that grows with the job's critical path
- * @param objectiveMs fixed share of the objective in milliseconds
- * @param advice set if only an outside service knows which workers may run a step
+ * @param maxAttempts number of failed runs of one task at which the job fails
+ * @param slowdownFactor multiple of the job's critical path that is added to the objective
+ * @param objectiveMs fixed part of the objective in milliseconds
+ * @param advice set if an external service decides which workers may run a step; otherwise null
  */
 public record QueuePolicy(
         String name,
--- a/library/src/main/java/io/radishspindle/pool/model/Run.java
+++ b/library/src/main/java/io/radishspindle/pool/model/Run.java
@@ -1,9 +1,9 @@
 package io.radishspindle.pool.model;
 
 /**
- * One run of a task. Immutable and thread-safe.
+ * One execution of a task. Immutable and thread-safe.
  *
- * @param attempt number of the start, from 1; rises with each start of the task
+ * @param attempt attempt number, from 1; increases with each start of the task
  */
 public record Run(TaskName task, int attempt) {
     @Override
--- a/library/src/main/java/io/radishspindle/pool/model/RunEnd.java
+++ b/library/src/main/java/io/radishspindle/pool/model/RunEnd.java
@@ -1,15 +1,15 @@
 package io.radishspindle.pool.model;
 
-/** How a run ended, as its worker reports it. */
+/** The way in which a run ended, as its worker reports it. */
 public enum RunEnd {
     DONE,
-    /** Through the task's own fault or the worker's. */
+    /** The task or its worker failed. */
     FAILED,
     STOPPED,
-    /** The lease of the worker's runs expired. */
+    /** The lease on the worker's runs expired. */
     LEASE_EXPIRED,
-    /** Another member of the gang ended. */
+    /** Another run of the gang ended. */
     GANG_BROKEN,
-    /** The other members of the gang did not arrive in time. */
+    /** The other runs of the gang did not start in time. */
     GANG_INCOMPLETE
 }
--- a/library/src/main/java/io/radishspindle/pool/model/StepSpec.java
+++ b/library/src/main/java/io/radishspindle/pool/model/StepSpec.java
@@ -4,24 +4,24 @@
 import java.util.List;
 
 /**
- * One step of a job: equal tasks that become runnable together. Immutable and thread-safe.
+ * One step of a job: identical tasks that become runnable together. Immutable and thread-safe.
  *
  * @param count number of tasks, at least 1
  * @param perTask resources of each task
  * @param estimateMs declared run time of a task in milliseconds; a rough estimate
- * @param after indices of earlier steps that must be done first
+ * @param after indices of earlier steps that must have completed first
  * @param checkpoint tasks save their progress and can resume from it
- * @param gang tasks run only together and end together
+ * @param gang tasks start together and end together
  * @param sameRack tasks are slower when they run on more than one rack
- * @param label label that a worker must carry; empty for any
+ * @param label label that a worker must have; empty for any worker
  * @param rack preferred rack; empty for none
- * @param maxPerWorker most tasks of one occurrence on one worker; 0 for no limit
+ * @param maxPerWorker highest number of tasks of one occurrence on one worker; 0 for no limit
  * @param speculative several copies of a task may run at once
- * @param lasting tasks run until the job is cancelled
- * @param image tasks of one image behave alike; may be empty
- * @param targetMs response time that a lasting task must keep, in milliseconds; 0 for none
- * @param fills uses only processor time that other tasks leave; its processors are not reserved
- * @param maxUnavailable tasks of a lasting step that may be away at once because of scheduling
+ * @param lasting tasks run until the job is cancelled, and are restarted when they end
+ * @param image image of the tasks; tasks of one image have similar run times; may be empty
+ * @param targetMs response time that a lasting task must stay within, in milliseconds; 0 for none
+ * @param fills tasks use only processor time that other tasks leave idle; no processors are reserved for them
+ * @param maxUnavailable highest number of tasks of a lasting step that scheduling may make unavailable at once
  */
 public record StepSpec(
         int count,
@@ -44,7 +44,7 @@
         after = List.copyOf(after);
     }
 
-    /** Resources that a running task takes away from other tasks. */
+    /** Returns the resources that are reserved for a running task. */
     public Resources reserved() {
         return fills ? new Resources(0, perTask.memoryMib(), perTask.accelerators()) : perTask;
     }
--- a/library/src/main/java/io/radishspindle/pool/model/TaskName.java
+++ b/library/src/main/java/io/radishspindle/pool/model/TaskName.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /**
- * One task of a job. Immutable and thread-safe.
+ * Identifies one task of a job. Immutable and thread-safe.
  *
  * @param occurrence number of the repetition, from 0
  * @param step index of the step within the job
@@ -12,7 +12,7 @@
 public record TaskName(String jobId, int occurrence, int step, int index) {
     private static final int PARTS = 4;
 
-    /** Parses the form that {@link #toString} yields; empty if the text has another form. */
+    /** Parses the result of {@link #toString}; empty if the text is malformed. */
     public static Optional<TaskName> parse(String text) {
         String[] parts = text.split("\\.", -1);
         if (parts.length != PARTS) {
@@ -22,7 +22,7 @@
             return Optional.of(new TaskName(
                     parts[0], Integer.parseInt(parts[1]), Integer.parseInt(parts[2]), Integer.parseInt(parts[3])));
         } catch (NumberFormatException e) {
-            // The caller reports the whole text; the number that failed adds nothing.
+            // The exception is dropped, as the caller reports the whole text.
             return Optional.empty();
         }
     }
--- a/library/src/main/java/io/radishspindle/pool/model/WorkerEntry.java
+++ b/library/src/main/java/io/radishspindle/pool/model/WorkerEntry.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * A worker as it registers itself. Immutable and thread-safe.
+ * The registration of a worker, as the worker wrote it. Immutable and thread-safe.
  *
- * @param id names one registration of the worker
- * @param pool service that the worker belongs to
- * @param bootWallMs Unix milliseconds of its start; 0 if unknown
- * @param remainingMs least time left before a draining worker exits, in milliseconds; -1 if unknown
+ * @param id identifies one registration of the worker
+ * @param pool pool that the worker belongs to
+ * @param bootWallMs Unix milliseconds at which the worker started; 0 if unknown
+ * @param remainingMs minimum time left before a draining worker exits, in milliseconds; -1 if unknown
  */
 public record WorkerEntry(
         String id,
@@ -27,7 +27,7 @@
         labels = List.copyOf(labels);
     }
 
-    /** Whether both name the same life of a worker at the same address. */
+    /** Returns whether both describe the same incarnation of a worker at the same address. */
     public boolean isSameIncarnation(WorkerEntry other) {
         return id.equals(other.id) && host.equals(other.host) && port == other.port && bootWallMs == other.bootWallMs;
     }
