--- a/library/src/main/java/io/radishspindle/pool/port/AdviceService.java
+++ b/library/src/main/java/io/radishspindle/pool/port/AdviceService.java
@@ -6,14 +6,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** The outside service that knows which workers may run a step. Belongs to one event loop; futures never fail. */
+/** Client of the external service that approves workers for a step. Belongs to one event loop; futures never fail. */
 public interface AdviceService {
-    /** Most workers named in one call. */
+    /** Highest number of workers in one call. */
     int MAX_WORKERS = 100;
 
-    /** Tickets by worker id; workers that are absent were turned down. */
+    /** Tickets by worker id, valid for {@code validMs} milliseconds; workers without a ticket were rejected. */
     record Advice(Map<String, String> tickets, long validMs) {}
 
-    /** Asks for one step, named {@code job.occurrence.step}. */
+    /** Requests tickets for one step, identified as {@code job.occurrence.step}. */
     Future<Either<Failure, Advice>> advise(String step, List<String> workers, long timeoutMs);
 }
--- a/library/src/main/java/io/radishspindle/pool/port/PrefixReader.java
+++ b/library/src/main/java/io/radishspindle/pool/port/PrefixReader.java
@@ -12,7 +12,7 @@
 
     /**
      * Waits for changes after a revision, at most {@code waitMs} milliseconds. Fails with code {@code CONFLICT} if
-     * that history is no longer available.
+     * the store no longer has the changes since that revision.
      */
     Future<Either<Failure, Listing>> watch(String prefix, long afterRevision, long waitMs);
 }
--- a/library/src/main/java/io/radishspindle/pool/port/SharedStore.java
+++ b/library/src/main/java/io/radishspindle/pool/port/SharedStore.java
@@ -9,12 +9,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The shared store of all entry VMs: linearizable, with one revision counter, conditional transactions, leases and
- * watches. Implementations belong to one event loop. The returned futures never fail; a failure with {@code notRun}
- * false leaves open whether the call was executed or will be.
+ * The key-value store that all entry VMs share: linearizable, with one revision counter, conditional transactions,
+ * leases and watches. Implementations belong to one event loop. The returned futures never fail; after a failure with
+ * {@code notRun} false the outcome is unknown: the call may have been executed or may still be.
  */
 public interface SharedStore extends PrefixReader {
-    /** Most keys in one transaction, conditions, writes and removals together. */
+    /** Highest number of conditions, writes and removals in one transaction, counted together. */
     int MAX_TXN_ENTRIES = 32;
 
     /**
@@ -32,16 +32,16 @@
     /** Items under a prefix as of a revision. */
     record Listing(List<Item> items, long revision) {}
 
-    /** A value to write; lease 0 keeps it until it is removed. */
+    /** A value to write. It is removed when the lease ends; with lease 0 it stays until it is removed explicitly. */
     record Write(String key, byte[] value, long lease) {}
 
-    /** A transaction: applied whole if every key has the expected revision (0: absent). */
+    /** A transaction, applied atomically if every key has the expected revision (0 if the key must not exist). */
     record Txn(Map<String, Long> expected, List<Write> writes, List<String> removals) {}
 
-    /** Outcome of a transaction: either its revision, or the conditions' keys in their present state. */
+    /** Result of a transaction: the revision if it was applied, otherwise the current items of its conditions. */
     record TxnResult(boolean applied, long revision, List<Item> current) {}
 
-    /** Makes a small read to find out whether the store answers within {@code timeoutMs} milliseconds. */
+    /** Checks with a small read whether the store answers within {@code timeoutMs} milliseconds. */
     Future<Either<Failure, Boolean>> probe(long timeoutMs);
 
     /** Reads a key; empty if it does not exist. */
@@ -49,10 +49,10 @@
 
     Future<Either<Failure, TxnResult>> transact(Txn txn);
 
-    /** Creates a lease of {@code ttlMs} milliseconds; yields its id. */
+    /** Creates a lease of {@code ttlMs} milliseconds; returns its id. */
     Future<Either<Failure, Long>> createLease(long ttlMs);
 
-    /** Renews a lease; fails with code {@code NOT_FOUND} if it has ended. */
+    /** Renews a lease; fails with code {@code NOT_FOUND} if it has expired or was ended. */
     Future<Either<Failure, Long>> renewLease(long lease);
 
     /** Ends a lease and removes its keys. */
--- a/library/src/main/java/io/radishspindle/pool/port/WorkerControl.java
+++ b/library/src/main/java/io/radishspindle/pool/port/WorkerControl.java
@@ -8,46 +8,48 @@
 import io.vertx.core.Future;
 
 /**
- * Orders to workers. Implementations belong to one event loop. The returned futures never fail. A failure with
- * {@code notRun} false leaves open whether the order was or will still be carried out.
+ * Sends orders to workers. Implementations belong to one event loop. The returned futures never fail. After a
+ * failure with {@code notRun} false the outcome is unknown: the order may have been executed or may still be.
  */
 public interface WorkerControl {
-    /** Answer to an order. */
+    /** The worker's answer to an order. */
     enum Answer {
         ACCEPTED,
-        /** The worker has seen a higher fencing token. */
+        /** The worker has received a higher fencing token. */
         FENCED,
-        /** The worker knows a newer run of the task. */
+        /** The worker has received a later attempt of the task. */
         OUTDATED,
         /** The lease in the order has expired on the worker's clock. */
         TOO_LATE,
+        /** The worker lacks the capacity for the run. */
         NO_ROOM,
         /** The ticket is missing or no longer valid. */
         NO_TICKET,
-        /** The worker is unhealthy and has done nothing. */
+        /** The worker is unhealthy and has not executed the order. */
         UNHEALTHY,
         /** The order itself is malformed. */
         INVALID,
-        /** Another life of the worker answered. */
+        /** Another incarnation of the worker answered. */
         OTHER_BOOT
     }
 
-    /** A start; {@code leaseEndWorkerMs} is a time on the worker's clock. */
+    /** Starts a run; {@code leaseEndWorkerMs} is the expiry of the lease on the worker's clock. */
     record StartOrder(
             Run run, String payload, long leaseEndWorkerMs, long fencingToken, String checkpoint, String ticket) {}
 
     /**
-     * Renews the lease of all runs, acknowledges ends and asks for the lists.
+     * Renews the lease on all runs of a worker, acknowledges ends of runs and requests a report: a long poll.
      *
-     * @param leaseEndWorkerMs time on the worker's clock; 0 leaves the lease as it is
-     * @param waitMs how long the answer waits for a new end, in milliseconds; 0 for not at all
+     * @param leaseEndWorkerMs new expiry of the lease on the worker's clock; 0 leaves the lease unchanged
+     * @param acknowledged highest sequence number of an end that the worker may drop
+     * @param waitMs how long the worker waits for a new end before it answers, in milliseconds; 0 for no wait
      */
     record HoldOrder(long leaseEndWorkerMs, long fencingToken, long acknowledged, long waitMs) {}
 
-    /** An answer with the worker's clock in milliseconds; -1 if the answer did not carry it. */
+    /** An answer with the worker's clock in milliseconds; -1 if the reply did not contain it. */
     record Reply(Answer answer, long clockMs) {}
 
-    /** Lists of the worker, or the reason why the call was rejected. */
+    /** The worker's report; any answer other than {@code ACCEPTED} is the reason why the call was rejected. */
     record HoldReply(Answer answer, WorkerReport report) {}
 
     Future<Either<Failure, Reply>> start(WorkerEntry worker, StartOrder order);
--- a/library/src/main/java/io/radishspindle/pool/port/package-info.java
+++ b/library/src/main/java/io/radishspindle/pool/port/package-info.java
@@ -1,3 +1,3 @@
-/** What a pool needs from the outside: shared store, worker control and placement advice. */
+/** Interfaces of a pool to its environment: shared store, worker control and placement advice. */
 @org.jspecify.annotations.NullMarked
 package io.radishspindle.pool.port;
