--- a/library/src/main/java/io/radishspindle/pool/core/AdviceChannels.java
+++ b/library/src/main/java/io/radishspindle/pool/core/AdviceChannels.java
@@ -1,10 +1,10 @@
 package io.radishspindle.pool.core;
 
-/** Calls for advice that an owner may make now. Lives for one scheduling pass; not thread-safe. */
+/** Limits the concurrent calls to the advice service. Used for one scheduling pass; not thread-safe. */
 public interface AdviceChannels {
-    /** Takes a channel for a call of the expected length in milliseconds; false if none is free for it. */
+    /** Acquires a channel for a call of the expected duration in milliseconds; false if none is available. */
     boolean tryAcquire(long expectedMs);
 
-    /** Whether so many channels are free that a call need not be likely to be of use. */
+    /** Returns whether enough channels are free for calls whose tickets may expire unused. */
     boolean arePlentiful();
 }
--- a/library/src/main/java/io/radishspindle/pool/core/CapacityForecast.java
+++ b/library/src/main/java/io/radishspindle/pool/core/CapacityForecast.java
@@ -8,12 +8,12 @@
 import java.util.TreeMap;
 
 /**
- * Estimates which waiting steps will find room soon, so that advice whose tickets would expire unused is not asked
- * for. Steps are offered in rank order. Lives for one scheduling pass; not thread-safe.
+ * Estimates which waiting steps will find free capacity soon, so that no advice is requested whose tickets would
+ * expire unused. Steps are offered in rank order. Used for one scheduling pass; not thread-safe.
  */
-final class RoomForecast {
-    /** What a worker will have free before a ticket that is asked for now expires. */
-    private static final class Room {
+final class CapacityForecast {
+    /** Capacity of a worker that will be free within the horizon. */
+    private static final class FreeCapacity {
         Resources expected = Resources.NONE;
         final TreeMap<Integer, Resources> preemptibleByPriority = new TreeMap<>();
 
@@ -21,7 +21,7 @@
             preemptibleByPriority.merge(priority, amount, Resources::plus);
         }
 
-        /** Room for a priority, which may preempt the lower ones. */
+        /** Capacity for a priority, which may preempt runs of lower priority. */
         Resources forPriority(int priority) {
             Resources sum = expected;
             for (Resources lower :
@@ -32,12 +32,12 @@
         }
     }
 
-    private final List<Room> rooms = new ArrayList<>();
-    private final Room total = new Room();
-    private Resources claimed = Resources.NONE;
+    private final List<FreeCapacity> freeByWorker = new ArrayList<>();
+    private final FreeCapacity total = new FreeCapacity();
+    private Resources reserved = Resources.NONE;
 
-    /** @param horizonMs time ahead that counts, in milliseconds */
-    RoomForecast(Collection<WorkerState> workers, DurationStats durations, long nowMs, long horizonMs) {
+    /** @param horizonMs how far ahead the forecast reaches, in milliseconds */
+    CapacityForecast(Collection<WorkerState> workers, DurationStats durations, long nowMs, long horizonMs) {
         for (WorkerState worker : workers) {
             if (worker.isUsable(nowMs)) {
                 add(worker, durations, nowMs + horizonMs);
@@ -46,20 +46,20 @@
     }
 
     private void add(WorkerState worker, DurationStats durations, long untilMs) {
-        Room room = new Room();
-        rooms.add(room);
-        room.expected = worker.free();
+        FreeCapacity free = new FreeCapacity();
+        freeByWorker.add(free);
+        free.expected = worker.free();
         for (RunState run : worker.runs.values()) {
             TaskState task = run.task;
             if (task == null || endsBy(run, task.step, durations, untilMs)) {
-                room.expected = room.expected.plus(run.reserved);
+                free.expected = free.expected.plus(run.reserved);
             } else if (isPreemptible(task.step.spec)) {
                 int priority = task.step.job.job.priority();
-                room.preemptible(priority, run.reserved);
+                free.preemptible(priority, run.reserved);
                 total.preemptible(priority, run.reserved);
             }
         }
-        total.expected = total.expected.plus(room.expected);
+        total.expected = total.expected.plus(free.expected);
     }
 
     private static boolean endsBy(RunState run, StepState step, DurationStats durations, long untilMs) {
@@ -73,16 +73,16 @@
         return spec.checkpoint() && !spec.gang() && !spec.lasting();
     }
 
-    /** Whether a task of the step is likely to fit after all that ranks before it. */
-    boolean expectsRoom(StepState step) {
+    /** Returns whether a task of the step is likely to fit after all steps that rank before it. */
+    boolean expectsCapacity(StepState step) {
         Resources need = step.spec.reserved();
         int priority = step.job.job.priority();
-        return claimed.plus(need).fitsIn(total.forPriority(priority))
-                && rooms.stream().anyMatch(room -> need.fitsIn(room.forPriority(priority)));
+        return reserved.plus(need).fitsIn(total.forPriority(priority))
+                && freeByWorker.stream().anyMatch(free -> need.fitsIn(free.forPriority(priority)));
     }
 
-    /** Counts the waiting tasks of a step against the room of those that rank after it. */
-    void claim(StepState step) {
-        claimed = claimed.plus(step.spec.reserved().times((int) step.waitingTasks()));
+    /** Reserves capacity for the waiting tasks of a step, which steps that rank after it can't use. */
+    void reserve(StepState step) {
+        reserved = reserved.plus(step.spec.reserved().times((int) step.waitingTasks()));
     }
 }
--- a/library/src/main/java/io/radishspindle/pool/core/DurationStats.java
+++ b/library/src/main/java/io/radishspindle/pool/core/DurationStats.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 
 /**
- * Learns how long tasks of an image take against their estimate, so that a slow worker can be told from a wrong
+ * Tracks the ratio of actual to estimated run time of each image, to distinguish a slow worker from a wrong
  * estimate. Bounded; belongs to its scheduler; not thread-safe.
  */
 final class DurationStats {
-    private static final double WEIGHT = 0.15;
+    private static final double SMOOTHING_WEIGHT = 0.15;
     private static final int MAX_IMAGES = 500;
 
     private final Map<String, Double> ratioByImage = new LinkedHashMap<>(16, 0.75f, true) {
@@ -29,12 +29,12 @@
         return step.spec.image().isEmpty() ? step.job.job.queue() : step.spec.image();
     }
 
-    /** Duration against what is usual for the image; 1 is usual, 2 twice as long. */
-    double relative(StepState step, long tookMs) {
+    /** Records a duration; returns its ratio to the average of the image, where 2 is twice as long. */
+    double recordRelative(StepState step, long tookMs) {
         double ratio = Math.max(1, tookMs) / (double) Math.max(1, step.spec.estimateMs());
         String image = image(step);
         double usual = ratioByImage.getOrDefault(image, ratio);
-        ratioByImage.put(image, usual + WEIGHT * (ratio - usual));
+        ratioByImage.put(image, usual + SMOOTHING_WEIGHT * (ratio - usual));
         return ratio / Math.max(0.01, usual);
     }
 }
--- a/library/src/main/java/io/radishspindle/pool/core/FillGuard.java
+++ b/library/src/main/java/io/radishspindle/pool/core/FillGuard.java
@@ -4,24 +4,24 @@
 import java.util.List;
 
 /**
- * Keeps tasks that use left-over processor time away from tasks that serve within a response-time target, since they
- * disturb them by amounts that nobody knows in advance. Stateless; thread-safe.
+ * Keeps tasks that use idle processor time ({@code fills}) off workers with tasks that have a response-time target,
+ * since their interference can't be predicted. Stateless; thread-safe.
  */
 final class FillGuard {
     private FillGuard() {}
 
-    /** Whether the step may join the runs of the worker. */
-    static boolean mayShare(StepState step, WorkerState worker) {
+    /** Returns whether tasks of the step may run beside the current runs of the worker. */
+    static boolean mayRunOn(StepState step, WorkerState worker) {
         if (!step.spec.fills()) {
             return true;
         }
-        return worker.runs.values().stream().noneMatch(FillGuard::serves);
+        return worker.runs.values().stream().noneMatch(FillGuard::isServing);
     }
 
-    /** Filling runs beside a serving one; they are stopped. */
-    static List<RunState> intruders(WorkerState worker) {
+    /** Returns the filling runs of a worker that also has a serving run; they have to be stopped. */
+    static List<RunState> fillRunsToStop(WorkerState worker) {
         List<RunState> found = new ArrayList<>();
-        if (worker.runs.values().stream().anyMatch(FillGuard::serves)) {
+        if (worker.runs.values().stream().anyMatch(FillGuard::isServing)) {
             for (RunState run : worker.runs.values()) {
                 if (run.task != null && run.task.step.spec.fills()) {
                     found.add(run);
@@ -31,7 +31,7 @@
         return found;
     }
 
-    private static boolean serves(RunState run) {
+    private static boolean isServing(RunState run) {
         return run.task != null && run.task.step.spec.targetMs() > 0;
     }
 }
--- a/library/src/main/java/io/radishspindle/pool/core/JobEvents.java
+++ b/library/src/main/java/io/radishspindle/pool/core/JobEvents.java
@@ -9,20 +9,20 @@
 /**
  * Applies the ends of runs to tasks, steps and jobs. Belongs to its scheduler; not thread-safe.
  *
- * <p>Invariant: every job whose progress has changed is among those to be written.
+ * <p>Invariant: every job with unwritten progress is in {@code dirty}.
  */
 final class JobEvents {
-    private final Map<String, JobState> open;
+    private final Map<String, JobState> unfinished;
     private final Set<JobState> dirty;
     private final List<PoolAction> actions;
 
-    JobEvents(Map<String, JobState> open, Set<JobState> dirty, List<PoolAction> actions) {
-        this.open = open;
+    JobEvents(Map<String, JobState> unfinished, Set<JobState> dirty, List<PoolAction> actions) {
+        this.unfinished = unfinished;
         this.dirty = dirty;
         this.actions = actions;
     }
 
-    /** Notes that a task of the job has begun. */
+    /** Marks the job as running when its first task has started. */
     void markRunning(JobState job) {
         if (job.phase == JobPhase.QUEUED) {
             job.phase = JobPhase.RUNNING;
@@ -34,30 +34,30 @@
     void apply(TaskState task, int attempt, RunEnd end, WorkerState worker, long nowMs, long wallMs) {
         StepState step = task.step;
         JobState job = step.job;
-        if (!job.isOpen()) {
+        if (!job.isUnfinished()) {
             return;
         }
         if (step.spec.lasting()) {
-            task.endsInRow = end == RunEnd.DONE || end == RunEnd.FAILED ? task.endsInRow + 1 : 0;
-            task.notBeforeMs =
-                    nowMs + Math.min(PoolTiming.RESTART_PAUSE_MS * task.endsInRow, PoolTiming.MAX_RESTART_PAUSE_MS);
+            task.consecutiveEnds = end == RunEnd.DONE || end == RunEnd.FAILED ? task.consecutiveEnds + 1 : 0;
+            task.earliestStartMs = nowMs
+                    + Math.min(PoolTiming.RESTART_BACKOFF_MS * task.consecutiveEnds, PoolTiming.MAX_RESTART_BACKOFF_MS);
             step.readySinceMs = nowMs;
             return;
         }
         if (end == RunEnd.DONE) {
-            succeeded(task, nowMs, wallMs);
+            onTaskSucceeded(task, nowMs, wallMs);
         } else if (end == RunEnd.FAILED) {
-            failed(task, attempt, wallMs);
+            onTaskFailed(task, attempt, wallMs);
         }
         if (!task.done && task.run == null) {
             step.readySinceMs = nowMs;
         }
     }
 
-    private void succeeded(TaskState task, long nowMs, long wallMs) {
+    private void onTaskSucceeded(TaskState task, long nowMs, long wallMs) {
         StepState step = task.step;
         if (step.spec.gang()) {
-            // The members end together, so one success stands for all.
+            // All tasks of a gang end together, so one success applies to all.
             step.tasks.forEach(JobEvents::markDone);
         } else {
             markDone(task);
@@ -79,13 +79,13 @@
         }
     }
 
-    private void failed(TaskState task, int attempt, long wallMs) {
+    private void onTaskFailed(TaskState task, int attempt, long wallMs) {
         StepState step = task.step;
         JobState job = step.job;
         if (task.done) {
             return;
         }
-        // All members of a gang fail together, so that one of them counts for the gang.
+        // All tasks of a gang fail together, so failures are counted at the first task only.
         TaskState counter = step.spec.gang() ? step.tasks.get(0) : task;
         if (!counter.failedAttempts.add(attempt)) {
             return;
@@ -97,11 +97,11 @@
         }
     }
 
-    /** Ends a job and stops what it still runs. */
+    /** Ends a job and stops its remaining runs, unless it has completed. */
     void endJob(JobState job, JobPhase phase, long wallMs, String reason) {
         job.phase = phase;
         job.endedWallMs = wallMs;
-        open.remove(job.job.id());
+        unfinished.remove(job.job.id());
         if (phase != JobPhase.CANCELLED) {
             dirty.add(job);
         }
@@ -121,7 +121,7 @@
         }
     }
 
-    /** Keeps the newest checkpoint; that of one member holds for its whole gang. */
+    /** Stores the latest checkpoint; the checkpoint of one task applies to its whole gang. */
     static void keepCheckpoint(TaskState task, String checkpoint) {
         if (task.step.spec.gang()) {
             task.step.tasks.forEach(member -> member.checkpoint = checkpoint);
--- a/library/src/main/java/io/radishspindle/pool/core/JobState.java
+++ b/library/src/main/java/io/radishspindle/pool/core/JobState.java
@@ -8,28 +8,28 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** A job that its pool's owner knows. Belongs to its scheduler; not thread-safe. */
+/** The state of a job at the owner of its pool. Belongs to its scheduler; not thread-safe. */
 final class JobState {
-    /** Workers that one call for advice names in the objective of a job. */
-    private static final int ADVISED_WORKERS = 30;
-    /** Beyond this multiple of the objective a job has no value left and runs last. */
-    private static final int WORTHLESS_FACTOR = 3;
-    /** Lateness of a job that has no value left. */
-    static final int WORTHLESS = 2;
-    /** An objective counts as missed only when it is by this share of it, since estimates are rough. */
+    /** Workers in the advice call that the objective of a job allows for. */
+    private static final int ASSUMED_ADVICE_WORKERS = 30;
+    /** A job that will exceed its objective by this factor has expired and is scheduled last. */
+    private static final int EXPIRY_FACTOR = 3;
+    /** Lateness of an expired job. */
+    static final int EXPIRED = 2;
+    /** Share of the objective by which a job may be late before it counts as late, since estimates are rough. */
     private static final double MISS_MARGIN = 0.1;
 
     final PoolJob job;
     final List<StepState> steps = new ArrayList<>();
-    /** Known before this owner took over, so that an earlier owner may have started its tasks. */
+    /** Loaded at the takeover, so that an earlier owner may have started its tasks. */
     final boolean inherited;
 
     JobPhase phase = JobPhase.QUEUED;
-    /** Phase that may be told to callers: final phases only once they are durable. */
+    /** Phase that may be reported to callers: a final phase is set only once it is durable. */
     JobPhase durablePhase = JobPhase.QUEUED;
 
     long endedWallMs;
-    private final long chainMs;
+    private final long criticalPathMs;
 
     JobState(PoolJob job, boolean inherited) {
         this.job = job;
@@ -39,18 +39,18 @@
                 steps.add(new StepState(this, k, i, job.steps().get(i)));
             }
         }
-        chainMs = chainMs();
+        criticalPathMs = criticalPathMs();
     }
 
     StepState step(int occurrence, int index) {
         return steps.get(occurrence * job.steps().size() + index);
     }
 
-    boolean isOpen() {
+    boolean isUnfinished() {
         return !phase.isFinal();
     }
 
-    boolean isReleased(StepState step, long wallMs) {
+    boolean isRunnable(StepState step, long wallMs) {
         if (job.firstStartWallMs() > 0 && wallMs < dueWallMs(step.occurrence)) {
             return false;
         }
@@ -66,32 +66,32 @@
         return job.firstStartWallMs() > 0 ? job.firstStartWallMs() + occurrence * job.periodMs() : job.acceptedWallMs();
     }
 
-    /** Milliseconds left until the objective is missed if everything that remains runs as estimated. */
+    /** Milliseconds by which the job would beat its objective if its remaining steps run as estimated. */
     long slackMs(StepState step, long wallMs) {
-        return dueWallMs(step.occurrence) + objectiveMs() - wallMs - remainingChainMs(step);
+        return dueWallMs(step.occurrence) + objectiveMs() - wallMs - remainingCriticalPathMs(step);
     }
 
-    /** 0 while the objective can be met, 1 when it can't, {@link #WORTHLESS} when no value is left. */
+    /** Returns 0 while the objective can be met, 1 if it can't, and {@link #EXPIRED} if the job has expired. */
     int lateness(StepState step, long wallMs) {
         long objectiveMs = objectiveMs();
         long ageMs = wallMs - dueWallMs(step.occurrence);
-        if (ageMs + remainingChainMs(step) > WORTHLESS_FACTOR * objectiveMs) {
-            return WORTHLESS;
+        if (ageMs + remainingCriticalPathMs(step) > EXPIRY_FACTOR * objectiveMs) {
+            return EXPIRED;
         }
         return slackMs(step, wallMs) < -MISS_MARGIN * objectiveMs ? 1 : 0;
     }
 
-    private long remainingChainMs(StepState step) {
+    private long remainingCriticalPathMs(StepState step) {
         long longest = 0;
         for (int i = step.index + 1; i < job.steps().size(); i++) {
             if (job.steps().get(i).after().contains(step.index)) {
-                longest = Math.max(longest, remainingChainMs(step(step.occurrence, i)));
+                longest = Math.max(longest, remainingCriticalPathMs(step(step.occurrence, i)));
             }
         }
         return longest + stepMs(step.index);
     }
 
-    private long chainMs() {
+    private long criticalPathMs() {
         long[] ends = new long[job.steps().size()];
         long longest = 0;
         for (int i = 0; i < ends.length; i++) {
@@ -106,37 +106,37 @@
     }
 
     private long stepMs(int index) {
-        long adviceMs = job.advice() == null ? 0 : job.advice().callMs(ADVISED_WORKERS);
+        long adviceMs = job.advice() == null ? 0 : job.advice().callMs(ASSUMED_ADVICE_WORKERS);
         return job.steps().get(index).estimateMs() + adviceMs;
     }
 
-    /** Times of the steps and the objective, for the log. */
+    /** Returns the objective and the times of the steps, for the log. */
     String timeline() {
         StringBuilder text = new StringBuilder("objective:").append(objectiveMs());
-        long zeroMs = steps.stream()
+        long originMs = steps.stream()
                 .mapToLong(step -> step.firstReadyMs)
                 .filter(ms -> ms >= 0)
                 .findFirst()
                 .orElse(0);
         for (StepState step : steps) {
             text.append(' ').append(step.tasks.size()).append(':');
-            text.append(sinceMs(zeroMs, step.firstReadyMs)).append('/');
-            text.append(sinceMs(zeroMs, step.lastFirstStartMs)).append('/');
-            text.append(sinceMs(zeroMs, step.doneAtMs));
+            text.append(sinceMs(originMs, step.firstReadyMs)).append('/');
+            text.append(sinceMs(originMs, step.lastFirstStartMs)).append('/');
+            text.append(sinceMs(originMs, step.doneAtMs));
         }
         return text.toString();
     }
 
-    /** What happened under an earlier owner has no time here. */
-    private static String sinceMs(long zeroMs, long ms) {
-        return ms < 0 ? "-" : Long.toString(ms - zeroMs);
+    /** Formats a time relative to the origin; "-" for an event under an earlier owner, whose time is unknown. */
+    private static String sinceMs(long originMs, long ms) {
+        return ms < 0 ? "-" : Long.toString(ms - originMs);
     }
 
     private long objectiveMs() {
-        return (long) (job.slowdownFactor() * chainMs) + job.objectiveMs();
+        return (long) (job.slowdownFactor() * criticalPathMs) + job.objectiveMs();
     }
 
-    /** What must be written so that another owner can continue. */
+    /** Returns the progress that another owner needs to continue the job. */
     JobProgress progress() {
         if (phase.isFinal()) {
             return new JobProgress(phase, endedWallMs, List.of());
@@ -162,7 +162,7 @@
         return new JobProgress(phase, endedWallMs, list);
     }
 
-    /** Takes over what an earlier owner has written. */
+    /** Restores the progress that an earlier owner has written. */
     void restore(JobProgress progress) {
         phase = progress.phase();
         durablePhase = progress.phase();
@@ -170,7 +170,7 @@
         for (StepProgress saved : progress.steps()) {
             StepState step = step(saved.occurrence(), saved.step());
             step.highestAttempt = saved.highestAttempt();
-            step.tasks.forEach(task -> task.attempts = saved.highestAttempt() + PoolTiming.ATTEMPT_GAP);
+            step.tasks.forEach(task -> task.lastAttempt = saved.highestAttempt() + PoolTiming.ATTEMPT_GAP);
             BitSet.valueOf(saved.done()).stream().forEach(index -> {
                 step.tasks.get(index).done = true;
                 step.doneTasks++;
--- a/library/src/main/java/io/radishspindle/pool/core/Placer.java
+++ b/library/src/main/java/io/radishspindle/pool/core/Placer.java
@@ -12,19 +12,19 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Chooses workers for the waiting tasks of one scheduling pass, in the order in which the steps are offered. Lives
- * for one pass; not thread-safe.
+ * Chooses workers for the waiting tasks of one scheduling pass, which offers the steps in rank order. Used for one
+ * pass; not thread-safe.
  *
- * <p>Invariant: a worker that a higher-ranked gang waits for takes no lower-ranked tasks.
+ * <p>Invariant: a worker that is reserved for a higher-ranked gang receives no lower-ranked tasks.
  */
 final class Placer {
-    /** Workers whose processors differ by less than this share count as equally filled. */
-    private static final double FILL_STEP = 0.05;
+    /** Granularity of processor usage in the score: workers that differ by less count as equally used. */
+    private static final double USAGE_STEP = 0.05;
 
     private final Collection<WorkerState> workers;
     private final long nowMs;
-    private final Set<WorkerState> reserved = new HashSet<>();
-    private final Map<WorkerState, Resources> promised = new HashMap<>();
+    private final Set<WorkerState> reservedForGangs = new HashSet<>();
+    private final Map<WorkerState, Resources> reservedCapacity = new HashMap<>();
     private boolean ticketMissing;
 
     Placer(Collection<WorkerState> workers, long nowMs) {
@@ -32,19 +32,19 @@
         this.nowMs = nowMs;
     }
 
-    /** Whether the last choice failed only because a ticket was missing or too old. */
+    /** Returns whether the last choice skipped a worker only because its ticket was missing or had expired. */
     boolean lacksTicket() {
         return ticketMissing;
     }
 
-    /** Best worker for a task now, or null. */
+    /** Returns the best worker for a task, or null if none can run it now. */
     @Nullable
     WorkerState choose(TaskState task) {
         ticketMissing = false;
         WorkerState best = null;
         double bestScore = Double.MAX_VALUE;
         for (WorkerState worker : workers) {
-            if (!fits(task.step, worker, free(worker)) || reserved.contains(worker)) {
+            if (!fits(task.step, worker, free(worker)) || reservedForGangs.contains(worker)) {
                 continue;
             }
             if (!hasTicket(task.step, worker)) {
@@ -60,7 +60,7 @@
         return best;
     }
 
-    /** Workers for all members of a gang, in the order of the tasks; empty if they don't all fit. */
+    /** Returns a worker for each task of a gang, in the order of the tasks; empty if they don't all fit. */
     List<WorkerState> chooseGang(StepState step) {
         List<WorkerState> chosen = new ArrayList<>();
         Map<WorkerState, Resources> taken = new HashMap<>();
@@ -69,7 +69,7 @@
             double bestScore = Double.MAX_VALUE;
             for (WorkerState worker : workers) {
                 Resources free = free(worker).minus(taken.getOrDefault(worker, Resources.NONE));
-                if (reserved.contains(worker) || !fits(step, worker, free) || !hasTicket(step, worker)) {
+                if (reservedForGangs.contains(worker) || !fits(step, worker, free) || !hasTicket(step, worker)) {
                     continue;
                 }
                 if (step.spec.maxPerWorker() > 0 && count(chosen, worker) >= step.spec.maxPerWorker()) {
@@ -90,11 +90,11 @@
         return chosen;
     }
 
-    /** Keeps the workers that a waiting gang could use from lower-ranked tasks of this pass. */
+    /** Reserves workers for a waiting gang, so that lower-ranked tasks of this pass don't use them. */
     void reserveForGang(StepState step) {
         List<WorkerState> candidates = new ArrayList<>();
         for (WorkerState worker : workers) {
-            if (mayRun(step, worker) && mayBeApproved(step, worker) && !reserved.contains(worker)) {
+            if (mayRun(step, worker) && mayBeApproved(step, worker) && !reservedForGangs.contains(worker)) {
                 candidates.add(worker);
             }
         }
@@ -104,7 +104,7 @@
             if (missing <= 0) {
                 return;
             }
-            reserved.add(worker);
+            reservedForGangs.add(worker);
             missing -= Math.max(1, membersThatFit(step, worker));
         }
     }
@@ -122,7 +122,7 @@
         return worker.free().accelerators();
     }
 
-    /** Room of a worker once its stopping runs have ended, less what this pass has promised of it. */
+    /** Free capacity of a worker once its stopping runs have ended, less what this pass has reserved there. */
     Resources futureFree(WorkerState worker) {
         Resources stopping = Resources.NONE;
         for (RunState run : worker.runs.values()) {
@@ -130,17 +130,17 @@
                 stopping = stopping.plus(run.reserved);
             }
         }
-        return worker.free().plus(stopping).minus(promised.getOrDefault(worker, Resources.NONE));
+        return worker.free().plus(stopping).minus(reservedCapacity.getOrDefault(worker, Resources.NONE));
     }
 
-    void promise(WorkerState worker, Resources amount) {
-        promised.merge(worker, amount, Resources::plus);
+    void reserveCapacity(WorkerState worker, Resources amount) {
+        reservedCapacity.merge(worker, amount, Resources::plus);
     }
 
-    /** Room now, less what higher-ranked tasks of this pass wait for there. */
+    /** Free capacity now, less what is reserved for higher-ranked tasks of this pass. */
     private Resources free(WorkerState worker) {
-        Resources claims = promised.get(worker);
-        if (claims == null) {
+        Resources reservedHere = reservedCapacity.get(worker);
+        if (reservedHere == null) {
             return worker.free();
         }
         Resources future = futureFree(worker);
@@ -155,7 +155,7 @@
         return step.spec.reserved().fitsIn(free) && mayRun(step, worker) && worker.isUsable(nowMs);
     }
 
-    /** Rules that hold whatever the load: label, spread, size, health. */
+    /** Checks the rules that don't depend on free capacity: label, spread, size, health. */
     boolean mayRun(StepState step, WorkerState worker) {
         if (!step.spec.label().isEmpty() && !worker.entry.labels().contains(step.spec.label())) {
             return false;
@@ -169,7 +169,7 @@
         if (worker.health.isSuspended(nowMs) || (worker.health.isOnProbation() && !worker.runs.isEmpty())) {
             return false;
         }
-        return FillGuard.mayShare(step, worker);
+        return FillGuard.mayRunOn(step, worker);
     }
 
     boolean hasTicket(StepState step, WorkerState worker) {
@@ -180,23 +180,23 @@
         return ticket != null && ticket.validUntilMs() > nowMs && ticket.bootWallMs() == worker.bootWallMs;
     }
 
-    /** Whether advice has approved the worker or was not asked about it yet. */
+    /** Returns whether the advice service has approved the worker or was not queried about it yet. */
     boolean mayBeApproved(StepState step, WorkerState worker) {
         return step.job.job.advice() == null
-                || !step.askedWorkers.contains(worker.id())
+                || !step.queriedWorkers.contains(worker.id())
                 || step.tickets.containsKey(worker.id());
     }
 
     private double score(TaskState task, WorkerState worker) {
         StepState step = task.step;
         Resources capacity = worker.entry.capacity();
-        double filled = capacity.milliCores() == 0 ? 1 : (double) worker.used.milliCores() / capacity.milliCores();
+        double usage = capacity.milliCores() == 0 ? 1 : (double) worker.used.milliCores() / capacity.milliCores();
         if (capacity.accelerators() > 0) {
-            filled = (double) worker.used.accelerators() / capacity.accelerators();
+            usage = (double) worker.used.accelerators() / capacity.accelerators();
         }
-        // Lasting and filling tasks go where most is left; others fill workers up, so that wide tasks find room.
+        // Lasting and filling tasks go to the least used workers; others are packed, so that large tasks find capacity.
         boolean spread = step.spec.lasting() || step.spec.fills();
-        double score = Math.round((spread ? filled : 1 - filled) / FILL_STEP) * FILL_STEP;
+        double score = Math.round((spread ? usage : 1 - usage) / USAGE_STEP) * USAGE_STEP;
         score += 3 * Math.max(0, worker.health.slowness() - 1);
         if (worker.health.isSlow()) {
             score += 10;
--- a/library/src/main/java/io/radishspindle/pool/core/PoolLoad.java
+++ b/library/src/main/java/io/radishspindle/pool/core/PoolLoad.java
@@ -5,9 +5,9 @@
 import java.util.TreeMap;
 
 /**
- * How full a pool is and who waits, for the log. Immutable and thread-safe.
+ * Usage of a pool and number of waiting and running tasks, for the log. Immutable and thread-safe.
  *
- * @param usable workers that can be given work
+ * @param usable workers that can receive new runs
  * @param usedMilliCores processor time reserved on usable workers, in thousandths of a core
  * @param milliCores capacity of usable workers, in thousandths of a core
  * @param waitingByPriority tasks of ready steps without a run
--- a/library/src/main/java/io/radishspindle/pool/core/PoolScheduler.java
+++ b/library/src/main/java/io/radishspindle/pool/core/PoolScheduler.java
@@ -23,15 +23,15 @@
 
 /**
  * Schedules the jobs of one pool for the owner of the pool. Deterministic: all times are passed in. Not thread-safe;
- * belongs to the event loop of the owner.
+ * confined to the event loop of the owner.
  *
  * <p>Invariants: a task has at most one run that occupies or may occupy a worker; the reservations on a worker never
- * exceed its capacity; an end is acknowledged only after the progress that it caused is durable; a job is reported as
+ * exceed its capacity; an end is acknowledged only after the progress that results from it is durable; a job is reported as
  * ended only after that is durable.
  */
 public final class PoolScheduler {
     private final Map<String, JobState> jobs = new LinkedHashMap<>();
-    private final Map<String, JobState> open = new LinkedHashMap<>();
+    private final Map<String, JobState> unfinished = new LinkedHashMap<>();
     private final Map<String, EndedJob> ended = new LinkedHashMap<>();
     private final Map<String, WorkerState> workers = new LinkedHashMap<>();
     private final Set<JobState> dirty = new LinkedHashSet<>();
@@ -41,62 +41,63 @@
     private final RunEvents events;
     private final ProgressLedger progress;
     private long recoveryEndsMs = Long.MIN_VALUE;
-    /** Answers to holds that were sent before this time do not show that the owner still owns the pool. */
+    /** Answers to holds that were sent before this time don't prove that the owner still owns the pool. */
     private long trustedFromMs = Long.MIN_VALUE;
 
     /** Creates the scheduler of a pool without jobs and workers. */
     public PoolScheduler() {
-        jobEvents = new JobEvents(open, dirty, actions);
-        events = new RunEvents(jobs, open, jobEvents, actions, durations);
+        jobEvents = new JobEvents(unfinished, dirty, actions);
+        events = new RunEvents(jobs, unfinished, jobEvents, actions, durations);
         progress = new ProgressLedger(jobs, workers, dirty);
     }
 
-    /** What stays known of a job that had ended before this owner took over. */
+    /** A job that had ended before the takeover. */
     private record EndedJob(JobPhase phase, long endedWallMs) {}
 
-    /** Takes over a job that an earlier owner may have started. */
+    /** Adds a stored job, which an earlier owner may have started. */
     public void load(PoolJob job, @Nullable JobProgress progress, boolean cancelled, long wallMs) {
         JobState state = new JobState(job, true);
         if (progress != null) {
             state.restore(progress);
         }
         jobs.put(job.id(), state);
-        if (state.isOpen()) {
-            open.put(job.id(), state);
+        if (state.isUnfinished()) {
+            unfinished.put(job.id(), state);
         }
         if (cancelled) {
             cancel(job.id(), wallMs);
         }
     }
 
-    /** Takes over the end of a job; its steps are no longer needed. */
+    /** Adds a stored job that has ended; its steps are no longer needed. */
     public void loadEnded(String jobId, JobPhase phase, long endedWallMs) {
         ended.put(jobId, new EndedJob(phase, endedWallMs));
     }
 
     /**
-     * Starts the recovery after a claim: tasks of loaded jobs wait until every listed worker has told what it runs,
-     * or until the leases that the previous owner granted have surely ended.
+     * Starts the recovery after a takeover: tasks of loaded jobs wait until every listed worker has reported its runs,
+     * or until all leases that the previous owner granted have certainly expired.
      */
     public void beginRecovery(long nowMs) {
-        recoveryEndsMs = nowMs + (long) ((PoolTiming.LEASE_MS + PoolTiming.SILENT_MS) / PoolTiming.SLOWEST_CLOCK);
+        recoveryEndsMs =
+                nowMs + (long) ((PoolTiming.LEASE_MS + PoolTiming.UNRESPONSIVE_AFTER_MS) / PoolTiming.MIN_CLOCK_RATE);
     }
 
-    /** Adds a new job; false if it is known already. */
+    /** Adds a new job; returns false if it is already known. */
     public boolean submit(PoolJob job) {
         if (isKnown(job.id())) {
             return false;
         }
         JobState state = new JobState(job, false);
         jobs.put(job.id(), state);
-        open.put(job.id(), state);
+        unfinished.put(job.id(), state);
         return true;
     }
 
-    /** Cancels a job whose cancellation is durable; false if it is unknown or has ended. */
+    /** Cancels a job whose cancellation is durable; returns false if it is unknown or has ended. */
     public boolean cancel(String jobId, long wallMs) {
         JobState job = jobs.get(jobId);
-        if (job == null || !job.isOpen()) {
+        if (job == null || !job.isUnfinished()) {
             return false;
         }
         jobEvents.endJob(job, JobPhase.CANCELLED, wallMs, "cancelled by the caller");
@@ -104,7 +105,7 @@
         return true;
     }
 
-    /** Replaces what is known of a worker's registration. */
+    /** Adds a worker or updates its registration. */
     public void onWorkerRegistered(WorkerEntry entry, long nowMs) {
         WorkerState worker = workers.get(entry.id());
         if (worker == null) {
@@ -118,7 +119,7 @@
         worker.listed = true;
     }
 
-    /** The registration is gone; the worker gets no more work, and its runs end with their leases. */
+    /** Handles a removed registration: the worker gets no more work, and its runs end when their lease expires. */
     public void onWorkerUnregistered(String workerId) {
         WorkerState worker = workers.get(workerId);
         if (worker != null) {
@@ -126,7 +127,7 @@
         }
     }
 
-    /** Ids of all workers that are listed or still occupied. */
+    /** Returns the ids of all workers that are registered or may still have runs. */
     public List<String> workerIds() {
         return List.copyOf(workers.keySet());
     }
@@ -135,14 +136,14 @@
         return Optional.ofNullable(workers.get(workerId)).map(worker -> worker.entry);
     }
 
-    /** Whether more than half of the listed workers have answered lately; without them another owner may exist. */
+    /** Returns whether a majority of the listed workers responds; without it another owner may exist. */
     public boolean hasQuorum(long nowMs) {
         long listed = 0;
         long answering = 0;
         for (WorkerState worker : workers.values()) {
             if (worker.listed) {
                 listed++;
-                if (worker.answered && nowMs - worker.lastAnswerMs < PoolTiming.SILENT_MS) {
+                if (worker.answered && nowMs - worker.lastAnswerMs < PoolTiming.UNRESPONSIVE_AFTER_MS) {
                     answering++;
                 }
             }
@@ -151,55 +152,56 @@
     }
 
     /**
-     * Treats all workers as silent until they answer a hold that is sent from now on: the owner did not run for a
-     * while, and its workers may have another owner.
+     * Treats all workers as unresponsive until they answer a hold that is sent from now on: the owner was paused, and
+     * its workers may have another owner.
      */
     public void invalidateEarlierAnswers(long nowMs) {
         trustedFromMs = nowMs;
-        workers.values().forEach(worker -> worker.lastAnswerMs = Math.min(worker.lastAnswerMs, silentSince(nowMs)));
+        workers.values()
+                .forEach(worker -> worker.lastAnswerMs = Math.min(worker.lastAnswerMs, unresponsiveSince(nowMs)));
     }
 
-    private static long silentSince(long nowMs) {
-        return nowMs - PoolTiming.SILENT_MS;
+    private static long unresponsiveSince(long nowMs) {
+        return nowMs - PoolTiming.UNRESPONSIVE_AFTER_MS;
     }
 
-    /** The next hold for a worker. A worker without runs is only watched. */
+    /** Creates the next hold for a worker. The lease is renewed only if the worker has runs. */
     public HoldOrder holdOrder(String workerId, long nowMs, long fencingToken) {
         WorkerState worker = workers.get(workerId);
         if (worker == null || !worker.answered) {
             return new HoldOrder(0, fencingToken, 0, 0);
         }
-        // A worker that may be cut off gets no further lease, so that its runs end at a known time.
+        // A worker that may be unreachable gets no further lease, so that its runs end at a known time.
         boolean renew = !worker.runs.isEmpty() && !worker.lastHoldFailed && hasQuorum(nowMs);
         long leaseEnd = renew ? worker.grantLease(nowMs) : 0;
-        boolean mayWait = worker.seenSequence == worker.durableSequence && !worker.lastHoldFailed;
-        // The worker may have begun a new life since its last answer, whose ends have the same numbers.
+        boolean mayWait = worker.appliedSequence == worker.durableSequence && !worker.lastHoldFailed;
+        // The worker may have restarted since its last answer and may use the same sequence numbers again.
         long acknowledged = worker.lastHoldFailed ? 0 : worker.durableSequence;
         return new HoldOrder(leaseEnd, fencingToken, acknowledged, mayWait ? events.holdWaitMs(worker, nowMs) : 0);
     }
 
-    /** Whether ends of the worker wait to become durable, so that a waiting hold would return at once. */
+    /** Returns whether ends of the worker wait to become durable, so that a hold would return immediately. */
     public boolean awaitsDurability(String workerId) {
         WorkerState worker = workers.get(workerId);
-        return worker != null && worker.seenSequence > worker.durableSequence;
+        return worker != null && worker.appliedSequence > worker.durableSequence;
     }
 
     /**
-     * Takes over the lists of a worker.
+     * Applies the report of a worker.
      *
-     * @param requestedAtMs when the hold was sent; runs that were settled later may be absent from the lists
+     * @param requestedAtMs when the hold was sent; runs that were resolved later may be missing from the report
      */
     public void onHoldReply(String workerId, long requestedAtMs, WorkerReport report, long nowMs, long wallMs) {
         WorkerState worker = workers.get(workerId);
         if (worker != null) {
-            events.reported(worker, requestedAtMs, report, nowMs, wallMs);
+            events.onReport(worker, requestedAtMs, report, nowMs, wallMs);
             if (requestedAtMs < trustedFromMs) {
-                worker.lastAnswerMs = Math.min(worker.lastAnswerMs, silentSince(trustedFromMs));
+                worker.lastAnswerMs = Math.min(worker.lastAnswerMs, unresponsiveSince(trustedFromMs));
             }
         }
     }
 
-    /** A hold that was sent at {@code sentAtMs} got no answer or was turned down. */
+    /** Handles a hold, sent at {@code sentAtMs}, that got no answer or was rejected. */
     public void onHoldFailed(String workerId, long sentAtMs) {
         WorkerState worker = workers.get(workerId);
         if (worker != null) {
@@ -209,23 +211,23 @@
     }
 
     /**
-     * Another worker answers at the address, which is given away only after its holder has ended: the runs of the
-     * earlier holder are over.
+     * Handles an answer from another worker at the address of {@code asked}. An address is reassigned only after the
+     * earlier worker has ended, so its runs have ended too.
      */
     public void onWorkerReplaced(WorkerEntry asked, long nowMs, long wallMs) {
         WorkerState worker = workers.get(asked.id());
-        // An entry that was never answered to may name a wrong address.
-        if (worker == null || worker.answeredAs == null || !worker.answeredAs.isSameIncarnation(asked)) {
+        // An entry from which no answer ever came may contain a wrong address.
+        if (worker == null || worker.entryAtLastAnswer == null || !worker.entryAtLastAnswer.isSameIncarnation(asked)) {
             return;
         }
         worker.answered = false;
         worker.leaseBoundMs = nowMs;
-        worker.seenSequence = 0;
+        worker.appliedSequence = 0;
         worker.durableSequence = 0;
-        events.leaseEnded(worker, "another worker has its address", nowMs, wallMs);
+        events.onLeasesExpired(worker, "another worker has its address", nowMs, wallMs);
     }
 
-    /** The answer to a start; null if there was none and the start may still be carried out. */
+    /** Applies the answer to a start; null if there was none, so that the start may still be executed. */
     public void onStartReply(String workerId, Run run, @Nullable Answer answer, long nowMs) {
         WorkerState worker = workers.get(workerId);
         RunState state = worker == null ? null : worker.runs.get(run);
@@ -234,7 +236,7 @@
         }
     }
 
-    /** The answer to a stop; null if there was none. */
+    /** Applies the answer to a stop; null if there was none. */
     public void onStopReply(String workerId, Run run, @Nullable Answer answer, long nowMs) {
         WorkerState worker = workers.get(workerId);
         RunState state = worker == null ? null : worker.runs.get(run);
@@ -244,13 +246,13 @@
     }
 
     /**
-     * Takes over advice; null if the call failed.
+     * Applies the result of an advice call; null if the call failed.
      *
-     * @param asked the workers that were named in the call
+     * @param asked the workers in the call
      */
     public void onAdvice(String stepName, List<String> asked, @Nullable Advice advice, long nowMs) {
         TaskName.parse(stepName + ".0").ifPresent(name -> {
-            JobState job = open.get(name.jobId());
+            JobState job = unfinished.get(name.jobId());
             if (job == null) {
                 return;
             }
@@ -259,7 +261,7 @@
             if (advice == null) {
                 return;
             }
-            step.askedWorkers.addAll(asked);
+            step.queriedWorkers.addAll(asked);
             long untilMs = nowMs + advice.validMs() - PoolTiming.TICKET_MARGIN_MS;
             for (String id : asked) {
                 WorkerState worker = workers.get(id);
@@ -272,15 +274,16 @@
     }
 
     /**
-     * One scheduling pass.
+     * Runs one scheduling pass and returns the actions that have accumulated since the last one.
      *
-     * @param channels calls for advice that can be made at once
+     * @param channels limits the advice calls of this pass
      */
     public List<PoolAction> schedule(long nowMs, long wallMs, AdviceChannels channels) {
         expireLeases(nowMs, wallMs);
-        events.review(workers.values(), nowMs);
+        events.stopUnwantedRuns(workers.values(), nowMs);
         if (hasQuorum(nowMs)) {
-            RoomForecast forecast = new RoomForecast(workers.values(), durations, nowMs, PoolTiming.FORECAST_MS);
+            CapacityForecast forecast =
+                    new CapacityForecast(workers.values(), durations, nowMs, PoolTiming.FORECAST_HORIZON_MS);
             new SchedulingPass(workers.values(), actions, nowMs, channels, forecast)
                     .run(Ranking.rank(readySteps(nowMs, wallMs), wallMs), dirty);
         }
@@ -289,14 +292,14 @@
         return result;
     }
 
-    /** Runs of silent workers end when no lease can be left. */
+    /** Ends the runs of unresponsive workers once all their leases have certainly expired. */
     private void expireLeases(long nowMs, long wallMs) {
         for (WorkerState worker : List.copyOf(workers.values())) {
-            boolean silent = !worker.answered || nowMs - worker.lastAnswerMs > PoolTiming.SILENT_MS;
-            // The last look came after the bound, so that an owner short of processor time does not overlook an end.
-            boolean lookedSince = worker.failedHoldSentAtMs >= worker.leaseBoundMs;
-            if (silent && nowMs > worker.leaseBoundMs && (lookedSince || worker.runs.isEmpty())) {
-                events.leaseEnded(worker, "silent until all leases had ended", nowMs, wallMs);
+            boolean unresponsive = !worker.answered || nowMs - worker.lastAnswerMs > PoolTiming.UNRESPONSIVE_AFTER_MS;
+            // Requires a failed hold after the expiry, so that an owner short of processor time doesn't miss an end.
+            boolean polledSince = worker.failedHoldSentAtMs >= worker.leaseBoundMs;
+            if (unresponsive && nowMs > worker.leaseBoundMs && (polledSince || worker.runs.isEmpty())) {
+                events.onLeasesExpired(worker, "unresponsive until all leases had expired", nowMs, wallMs);
                 if (!worker.listed) {
                     workers.remove(worker.id());
                 }
@@ -307,12 +310,12 @@
     private List<StepState> readySteps(long nowMs, long wallMs) {
         boolean recovering = isRecovering(nowMs);
         List<StepState> ready = new ArrayList<>();
-        for (JobState job : open.values()) {
+        for (JobState job : unfinished.values()) {
             if (recovering && job.inherited) {
                 continue;
             }
             for (StepState step : job.steps) {
-                if (!step.isDone() && job.isReleased(step, wallMs) && step.waitingTasks() > 0) {
+                if (!step.isDone() && job.isRunnable(step, wallMs) && step.waitingTasks() > 0) {
                     if (step.readySinceMs < 0) {
                         step.readySinceMs = nowMs;
                         step.firstReadyMs = nowMs;
@@ -324,7 +327,7 @@
         return ready;
     }
 
-    /** Whether tasks of loaded jobs still wait for what workers run; see {@link #beginRecovery}. */
+    /** Returns whether tasks of loaded jobs still wait for the workers' reports; see {@link #beginRecovery}. */
     public boolean isRecovering(long nowMs) {
         if (nowMs >= recoveryEndsMs) {
             return false;
@@ -336,7 +339,7 @@
         return nowMs < recoveryEndsMs;
     }
 
-    /** Phase of a job that may be told to callers; empty if the job is unknown. */
+    /** Returns the phase of a job to report to callers; empty if the job is unknown. */
     public Optional<JobPhase> phase(String jobId) {
         JobState job = jobs.get(jobId);
         if (job == null) {
@@ -345,15 +348,15 @@
         return Optional.of(job.phase.isFinal() ? job.durablePhase : job.phase);
     }
 
-    /** Whether a job is known, open or ended. */
+    /** Returns whether a job is known, unfinished or ended. */
     public boolean isKnown(String jobId) {
         return jobs.containsKey(jobId) || ended.containsKey(jobId);
     }
 
-    /** Number of jobs of a queue of which no task has started. */
+    /** Returns the number of jobs of a queue of which no task has started. */
     public int pending(String queue) {
         int count = 0;
-        for (JobState job : open.values()) {
+        for (JobState job : unfinished.values()) {
             if (job.phase == JobPhase.QUEUED && job.job.queue().equals(queue)) {
                 count++;
             }
@@ -361,26 +364,26 @@
         return count;
     }
 
-    /** How full the pool is and who waits. */
+    /** Returns the usage of the pool and its waiting tasks. */
     public PoolLoad load(long nowMs, long wallMs) {
         return PoolLoad.of(workers.values(), readySteps(nowMs, wallMs), nowMs);
     }
 
-    /** Number of jobs that have not ended. */
+    /** Returns the number of unfinished jobs. */
     public int unfinishedJobs() {
-        return open.size();
+        return unfinished.size();
     }
 
-    /** What has to be written, and what is durable. */
+    /** Returns the ledger of unwritten and durable progress. */
     public ProgressLedger progress() {
         return progress;
     }
 
-    /** Forgets jobs that ended before {@code untilWallMs}; yields their ids, at most {@code limit}. */
+    /** Removes at most {@code limit} jobs that ended before {@code untilWallMs}; returns their ids. */
     public List<String> removeEnded(long untilWallMs, int limit) {
         List<String> ids = new ArrayList<>();
         jobs.values().stream()
-                .filter(job -> !job.isOpen() && job.durablePhase.isFinal() && job.endedWallMs < untilWallMs)
+                .filter(job -> !job.isUnfinished() && job.durablePhase.isFinal() && job.endedWallMs < untilWallMs)
                 .limit(limit)
                 .forEach(job -> ids.add(job.job.id()));
         ended.entrySet().stream()
@@ -392,7 +395,7 @@
         return ids;
     }
 
-    /** A start order as the pass creates it; the owner adds its fencing token. */
+    /** Creates a start order without a fencing token, which the owner sets. */
     static StartOrder order(RunState run, long leaseEndWorkerMs, String checkpoint, String ticket) {
         TaskState task = run.task;
         String payload = task == null ? "" : task.step.job.job.payload();
--- a/library/src/main/java/io/radishspindle/pool/core/Preemptor.java
+++ b/library/src/main/java/io/radishspindle/pool/core/Preemptor.java
@@ -9,11 +9,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Frees room for tasks that have waited too long by stopping runs of lower priority that lose little: those that can
- * resume from a checkpoint, and those that have just begun. Lives for one pass; not thread-safe.
+ * Frees capacity for tasks that have waited too long by stopping runs of lower priority that lose little work: runs
+ * that can resume from a checkpoint and runs that have just started. Used for one pass; not thread-safe.
  */
 final class Preemptor {
-    /** Orders runs by what stopping them costs: the most recently started first. */
+    /** Orders runs by the work lost when they stop: the most recently started first. */
     private static final Comparator<RunState> CHEAPEST_FIRST =
             Comparator.comparingLong((RunState run) -> run.sentAtMs).reversed();
 
@@ -28,10 +28,10 @@
     }
 
     /**
-     * Finds room for one task in what stopping runs will free, or else chooses runs to stop. Either way the room is
-     * promised to the task for this pass.
+     * Finds a worker on which one task will fit once stopping runs have ended, or else chooses runs to stop there.
+     * Either way the capacity is reserved for the task during this pass.
      */
-    List<RunState> makeRoom(StepState step) {
+    List<RunState> freeCapacity(StepState step) {
         Resources need = step.spec.reserved();
         WorkerState best = null;
         List<RunState> bestVictims = List.of();
@@ -46,12 +46,12 @@
             }
         }
         if (best != null) {
-            placer.promise(best, need);
+            placer.reserveCapacity(best, need);
         }
         return bestVictims;
     }
 
-    /** Fewest recent runs whose end lets {@code need} fit; null if nothing on the worker can give way. */
+    /** Returns the most recent runs whose end lets {@code need} fit; null if preemption can't free enough. */
     private @Nullable List<RunState> victims(StepState step, WorkerState worker, Resources need) {
         Resources future = placer.futureFree(worker);
         List<RunState> chosen = new ArrayList<>();
@@ -59,7 +59,7 @@
             return chosen;
         }
         List<RunState> candidates = worker.runs.values().stream()
-                .filter(run -> mayGiveWay(step, run))
+                .filter(run -> isPreemptible(step, run))
                 .sorted(CHEAPEST_FIRST)
                 .toList();
         for (RunState run : candidates) {
@@ -72,7 +72,7 @@
         return null;
     }
 
-    private boolean mayGiveWay(StepState step, RunState run) {
+    private boolean isPreemptible(StepState step, RunState run) {
         if (run.task == null || run.phase != Phase.RUNNING) {
             return false;
         }
@@ -80,6 +80,6 @@
         if (other.spec.lasting() || other.spec.gang() || other.job.job.priority() <= step.job.job.priority()) {
             return false;
         }
-        return other.spec.checkpoint() || nowMs - run.sentAtMs < PoolTiming.YOUNG_RUN_MS;
+        return other.spec.checkpoint() || nowMs - run.sentAtMs < PoolTiming.MAX_UNSAVED_RUN_AGE_MS;
     }
 }
--- a/library/src/main/java/io/radishspindle/pool/core/ProgressLedger.java
+++ b/library/src/main/java/io/radishspindle/pool/core/ProgressLedger.java
@@ -12,19 +12,19 @@
 import java.util.TreeSet;
 
 /**
- * What of a pool's progress has to be written, and what is durable. Several batches may be under way at once, and may
- * become durable in any order. Belongs to its scheduler; not thread-safe.
+ * Tracks which progress of a pool has to be written and which is durable. Several batches may be in flight at once,
+ * and may become durable in any order. Belongs to its scheduler; not thread-safe.
  *
- * <p>Invariant: an end may be acknowledged only after all progress that was due when it was taken over is durable.
+ * <p>Invariant: an end may be acknowledged only after all progress that was unwritten when it was applied is durable.
  */
 public final class ProgressLedger {
     private final Map<String, JobState> jobs;
     private final Map<String, WorkerState> workers;
     private final Set<JobState> dirty;
-    /** Numbers of the batches without an outcome. */
-    private final TreeSet<Long> underWay = new TreeSet<>();
-    /** Oldest first; each waits for all batches up to its number. */
-    private final Deque<TakenOver> takenOver = new ArrayDeque<>();
+    /** Numbers of the batches whose outcome is not known yet. */
+    private final TreeSet<Long> inFlight = new TreeSet<>();
+    /** Ends to acknowledge, oldest first; each entry waits for all batches up to its number. */
+    private final Deque<PendingAcknowledgement> pendingAcknowledgements = new ArrayDeque<>();
 
     private long lastBatch;
 
@@ -34,66 +34,66 @@
         this.dirty = dirty;
     }
 
-    /** Progress to be written, by job; batches are numbered in the order in which they were taken. */
+    /** Progress to write, by job id; batches are numbered in the order in which they were taken. */
     public record Batch(long number, Map<String, JobProgress> progress) {}
 
-    /** Ends whose effect is in the batches up to a number, as the highest sequence number of each worker's life. */
-    private record TakenOver(long upToBatch, Map<String, Long> sequences, Map<String, Long> boots) {}
+    /** Ends covered by the batches up to a number: the highest sequence number and the boot time of each worker. */
+    private record PendingAcknowledgement(long upToBatch, Map<String, Long> sequences, Map<String, Long> boots) {}
 
-    /** Whether progress of a job that is not in {@code underWay} waits to be written. */
-    public boolean hasDirty(Set<String> underWay) {
-        return dirty.stream().anyMatch(job -> !underWay.contains(job.job.id()));
+    /** Returns whether progress of a job that is not in {@code inFlight} has to be written. */
+    public boolean hasDirty(Set<String> inFlight) {
+        return dirty.stream().anyMatch(job -> !inFlight.contains(job.job.id()));
     }
 
-    /** Whether ends wait to become durable. */
+    /** Returns whether ends wait to become durable. */
     public boolean hasUnacknowledged() {
-        return workers.values().stream().anyMatch(w -> w.seenSequence > w.durableSequence);
+        return workers.values().stream().anyMatch(w -> w.appliedSequence > w.durableSequence);
     }
 
-    /** Whether the end of a job waits to be written, which callers wait for. */
+    /** Returns whether the end of a job, for which callers may wait, has to be written. */
     public boolean hasDirtyEnds() {
         return dirty.stream().anyMatch(job -> job.phase.isFinal());
     }
 
     /**
-     * Takes at most {@code limit} jobs whose progress has to be written, ended ones first; the rest stays for the next
-     * batch.
+     * Takes a batch of at most {@code limit} jobs with unwritten progress, ended jobs first; the rest stays for the
+     * next batch.
      *
-     * @param underWay jobs of earlier batches without an outcome, which are left out
+     * @param inFlight jobs of earlier batches in flight, which are left out
      */
-    public Batch take(int limit, Set<String> underWay) {
+    public Batch take(int limit, Set<String> inFlight) {
         List<JobState> taken = new ArrayList<>();
-        addDirty(taken, true, limit, underWay);
-        addDirty(taken, false, limit - taken.size(), underWay);
+        addDirty(taken, true, limit, inFlight);
+        addDirty(taken, false, limit - taken.size(), inFlight);
         Map<String, JobProgress> progress = new LinkedHashMap<>();
         taken.forEach(job -> progress.put(job.job.id(), job.progress()));
         taken.forEach(dirty::remove);
         Batch batch = new Batch(++lastBatch, progress);
-        this.underWay.add(batch.number());
+        this.inFlight.add(batch.number());
         if (dirty.isEmpty()) {
-            takenOver.add(endsUpTo(batch.number()));
+            pendingAcknowledgements.add(endsCoveredBy(batch.number()));
         }
         return batch;
     }
 
-    private void addDirty(List<JobState> taken, boolean ended, int limit, Set<String> underWay) {
+    private void addDirty(List<JobState> taken, boolean ended, int limit, Set<String> inFlight) {
         dirty.stream()
-                .filter(job -> job.phase.isFinal() == ended && !underWay.contains(job.job.id()))
+                .filter(job -> job.phase.isFinal() == ended && !inFlight.contains(job.job.id()))
                 .limit(limit)
                 .forEach(taken::add);
     }
 
-    private TakenOver endsUpTo(long batch) {
+    private PendingAcknowledgement endsCoveredBy(long batch) {
         Map<String, Long> sequences = new HashMap<>();
         Map<String, Long> boots = new HashMap<>();
         workers.forEach((id, worker) -> {
-            sequences.put(id, worker.seenSequence);
+            sequences.put(id, worker.appliedSequence);
             boots.put(id, worker.bootWallMs);
         });
-        return new TakenOver(batch, sequences, boots);
+        return new PendingAcknowledgement(batch, sequences, boots);
     }
 
-    /** The batch has become durable. */
+    /** Applies that the batch has become durable, and acknowledges the ends that waited for it. */
     public void onWritten(Batch batch) {
         batch.progress().forEach((id, progress) -> {
             JobState job = jobs.get(id);
@@ -101,14 +101,15 @@
                 job.durablePhase = progress.phase();
             }
         });
-        underWay.remove(batch.number());
-        long durableUpTo = underWay.isEmpty() ? lastBatch : underWay.first() - 1;
-        while (!takenOver.isEmpty() && takenOver.peek().upToBatch() <= durableUpTo) {
-            acknowledge(takenOver.remove());
+        inFlight.remove(batch.number());
+        long durableUpTo = inFlight.isEmpty() ? lastBatch : inFlight.first() - 1;
+        while (!pendingAcknowledgements.isEmpty()
+                && pendingAcknowledgements.peek().upToBatch() <= durableUpTo) {
+            acknowledge(pendingAcknowledgements.remove());
         }
     }
 
-    private void acknowledge(TakenOver ends) {
+    private void acknowledge(PendingAcknowledgement ends) {
         ends.sequences().forEach((id, sequence) -> {
             WorkerState worker = workers.get(id);
             if (worker != null && ends.boots().getOrDefault(id, -1L) == worker.bootWallMs) {
@@ -117,10 +118,10 @@
         });
     }
 
-    /** The batch could not be written; its jobs are written again, and the ends that it was due to wait for them. */
+    /** Marks the jobs of a batch that could not be written as dirty again; dependent ends stay unacknowledged. */
     public void onWriteFailed(Batch batch) {
-        underWay.remove(batch.number());
-        takenOver.removeIf(ends -> ends.upToBatch() >= batch.number());
+        inFlight.remove(batch.number());
+        pendingAcknowledgements.removeIf(ends -> ends.upToBatch() >= batch.number());
         batch.progress().keySet().forEach(id -> {
             JobState job = jobs.get(id);
             if (job != null) {
--- a/library/src/main/java/io/radishspindle/pool/core/Ranking.java
+++ b/library/src/main/java/io/radishspindle/pool/core/Ranking.java
@@ -6,18 +6,18 @@
 import java.util.List;
 
 /**
- * Order in which ready steps are served: by priority; within it, work that can still meet its objective goes first,
- * the least slack first, then late work. Work that has lost its value goes last, whatever its priority, since it would
- * only make other work late. Stateless; thread-safe.
+ * Orders ready steps for scheduling: by priority; within a priority, steps that can still meet their objective come
+ * first, by least slack, then late steps. Expired steps come last whatever their priority, since they would only
+ * make other steps late. Stateless; thread-safe.
  */
 final class Ranking {
     private record Ranked(StepState step, int priority, int lateness, long slackMs) {
-        boolean isWorthless() {
-            return lateness == JobState.WORTHLESS;
+        boolean isExpired() {
+            return lateness == JobState.EXPIRED;
         }
     }
 
-    private static final Comparator<Ranked> ORDER = Comparator.comparing(Ranked::isWorthless)
+    private static final Comparator<Ranked> ORDER = Comparator.comparing(Ranked::isExpired)
             .thenComparingInt(Ranked::priority)
             .thenComparingInt(Ranked::lateness)
             .thenComparingLong(Ranked::slackMs)
@@ -30,7 +30,7 @@
         for (StepState step : steps) {
             JobState job = step.job;
             int lateness = step.spec.lasting() ? 0 : job.lateness(step, wallMs);
-            step.worthless = lateness == JobState.WORTHLESS;
+            step.expired = lateness == JobState.EXPIRED;
             long slackMs = job.slackMs(step, wallMs);
             ranked.add(new Ranked(step, job.job.priority(), lateness, slackMs));
         }
--- a/library/src/main/java/io/radishspindle/pool/core/RunEvents.java
+++ b/library/src/main/java/io/radishspindle/pool/core/RunEvents.java
@@ -15,57 +15,58 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Applies what workers report to their runs. Belongs to its scheduler; not thread-safe.
+ * Applies the reports of workers and their answers to orders to the runs. Belongs to its scheduler; not thread-safe.
  *
- * <p>Invariant: a run is released only by a listed end, by its absence from lists that were requested after the last
- * order about it was answered, by a new life of its worker, or by the end of every lease on its worker.
+ * <p>Invariant: a run is released only by a reported end, by its absence from a report that was requested after the
+ * last order about it was answered, by a rejected start, by a new incarnation of its worker, or by the expiry of
+ * all leases of its worker.
  */
 final class RunEvents {
-    /** A stop without an answer or effect is repeated after this many milliseconds. */
-    private static final long STOP_REPEAT_MS = 700;
-    /** A task that uses no processor time for this many milliseconds stands still. */
-    private static final long IDLE_LIMIT_MS = 1_300;
-    /** Processor use below this share of the request counts as standing still. */
-    private static final double IDLE_SHARE = 0.04;
+    /** Time after which a stop without effect is retried, in milliseconds. */
+    private static final long STOP_RETRY_MS = 700;
+    /** Time without processor use after which a task counts as stalled, in milliseconds. */
+    private static final long STALL_TIMEOUT_MS = 1_300;
+    /** Processor use below this share of the requested cores counts as none. */
+    private static final double IDLE_USAGE_SHARE = 0.04;
 
     private final Map<String, JobState> jobs;
-    private final Map<String, JobState> open;
+    private final Map<String, JobState> unfinished;
     private final JobEvents jobEvents;
     private final List<PoolAction> actions;
     private final DurationStats durations;
 
     RunEvents(
             Map<String, JobState> jobs,
-            Map<String, JobState> open,
+            Map<String, JobState> unfinished,
             JobEvents jobEvents,
             List<PoolAction> actions,
             DurationStats durations) {
         this.durations = durations;
         this.jobs = jobs;
-        this.open = open;
+        this.unfinished = unfinished;
         this.jobEvents = jobEvents;
         this.actions = actions;
     }
 
-    void reported(WorkerState worker, long requestedAtMs, WorkerReport report, long nowMs, long wallMs) {
+    void onReport(WorkerState worker, long requestedAtMs, WorkerReport report, long nowMs, long wallMs) {
         if (worker.answered && report.bootWallMs() != worker.bootWallMs) {
-            newLife(worker);
+            onNewIncarnation(worker);
         }
         if (!worker.answered) {
-            // The previous owner may have granted a lease just before this owner was fenced in.
-            worker.leaseBoundMs = nowMs + (long) (PoolTiming.LEASE_MS / PoolTiming.SLOWEST_CLOCK);
+            // The previous owner may have granted a lease just before the worker received this owner's fencing token.
+            worker.leaseBoundMs = nowMs + (long) (PoolTiming.LEASE_MS / PoolTiming.MIN_CLOCK_RATE);
         }
         worker.bootWallMs = report.bootWallMs();
         worker.answered = true;
-        worker.answeredAs = worker.entry;
+        worker.entryAtLastAnswer = worker.entry;
         worker.lastHoldFailed = false;
         worker.lastAnswerMs = nowMs;
         worker.clockMs = report.clockMs();
         worker.clockAtMs = nowMs;
         for (EndedRun ended : report.ended()) {
-            if (ended.sequence() > worker.seenSequence) {
-                worker.seenSequence = ended.sequence();
-                ended(worker, ended, nowMs, wallMs);
+            if (ended.sequence() > worker.appliedSequence) {
+                worker.appliedSequence = ended.sequence();
+                onRunEnded(worker, ended, nowMs, wallMs);
             }
         }
         Map<String, RunningTask> present = new HashMap<>();
@@ -73,22 +74,22 @@
         for (RunState run : List.copyOf(worker.runs.values())) {
             RunningTask running = present.remove(run.run.toString());
             if (running != null) {
-                present(run, running, nowMs);
-            } else if (requestedAtMs >= run.settledAtMs) {
-                absent(run, nowMs, wallMs);
+                onRunPresent(run, running, nowMs);
+            } else if (requestedAtMs >= run.resolvedAtMs) {
+                onRunAbsent(run, nowMs, wallMs);
             }
         }
         present.values().forEach(running -> adopt(worker, running, nowMs));
     }
 
-    /** The lists then lack the runs of the earlier life; a start that has just been sent may belong to the new one. */
-    private void newLife(WorkerState worker) {
+    /** Runs of the earlier incarnation are missing from the report; a start just sent may belong to the new one. */
+    private void onNewIncarnation(WorkerState worker) {
         actions.add(new PoolAction.WorkerChanged(worker.id(), "restarted", "reports a new start time"));
-        worker.seenSequence = 0;
+        worker.appliedSequence = 0;
         worker.durableSequence = 0;
     }
 
-    /** How long a hold should wait so that its loss is noticed soon after the next end is due, in milliseconds. */
+    /** Returns the wait of a hold in milliseconds, such that its loss is detected soon after the next expected end. */
     long holdWaitMs(WorkerState worker, long nowMs) {
         long waitMs = PoolTiming.HOLD_WAIT_MS;
         for (RunState run : worker.runs.values()) {
@@ -100,85 +101,86 @@
         return waitMs;
     }
 
-    void leaseEnded(WorkerState worker, String reason, long nowMs, long wallMs) {
+    void onLeasesExpired(WorkerState worker, String reason, long nowMs, long wallMs) {
         if (!worker.runs.isEmpty()) {
             actions.add(new PoolAction.WorkerChanged(worker.id(), "lost", reason));
-            loseAll(worker, nowMs, wallMs);
+            expireAllRuns(worker, nowMs, wallMs);
         }
     }
 
-    private void loseAll(WorkerState worker, long nowMs, long wallMs) {
+    private void expireAllRuns(WorkerState worker, long nowMs, long wallMs) {
         for (RunState run : List.copyOf(worker.runs.values())) {
             finish(run, RunEnd.LEASE_EXPIRED, nowMs, wallMs);
         }
     }
 
-    private void present(RunState run, RunningTask running, long nowMs) {
+    private void onRunPresent(RunState run, RunningTask running, long nowMs) {
         if (run.phase == Phase.STARTING || run.phase == Phase.UNRESOLVED) {
             run.phase = Phase.RUNNING;
-            run.settledAtMs = nowMs;
+            run.resolvedAtMs = nowMs;
         }
-        run.startUnknown = false;
+        run.startOutcomeUnknown = false;
         if (!running.checkpoint().isEmpty() && run.task != null) {
             JobEvents.keepCheckpoint(run.task, running.checkpoint());
         }
-        if (run.phase == Phase.STOPPING && nowMs - run.stopSentAtMs > STOP_REPEAT_MS) {
-            stop(run, nowMs, "repeated stop");
+        if (run.phase == Phase.STOPPING && nowMs - run.stopSentAtMs > STOP_RETRY_MS) {
+            stop(run, nowMs, "stop retried");
         }
         if (run.phase == Phase.RUNNING) {
-            checkStandstill(run, running, nowMs);
+            checkStalled(run, running, nowMs);
         }
     }
 
-    /** Finds tasks that use no processor time although they may; their worker has a fault that health checks miss. */
-    private void checkStandstill(RunState run, RunningTask running, long nowMs) {
+    /** Stops tasks that use no processor time although they may: their worker has a fault that health checks miss. */
+    private void checkStalled(RunState run, RunningTask running, long nowMs) {
         TaskState task = run.task;
         if (task == null || task.step.spec.fills() || task.step.spec.targetMs() > 0 || running.gauge() < 0) {
             return;
         }
-        boolean idle = running.gauge() < IDLE_SHARE * task.step.spec.perTask().milliCores()
-                && running.pacePercent() > 0
-                && !task.step.spec.gang();
+        boolean idle =
+                running.gauge() < IDLE_USAGE_SHARE * task.step.spec.perTask().milliCores()
+                        && running.pacePercent() > 0
+                        && !task.step.spec.gang();
         if (!idle) {
             run.idleSinceMs = -1;
         } else if (run.idleSinceMs < 0) {
             run.idleSinceMs = nowMs;
-        } else if (nowMs - run.idleSinceMs > IDLE_LIMIT_MS) {
+        } else if (nowMs - run.idleSinceMs > STALL_TIMEOUT_MS) {
             run.worker.health.suspend(nowMs);
-            actions.add(new PoolAction.WorkerChanged(run.worker.id(), "suspended", "task stands still"));
-            stop(run, nowMs, "task stands still");
+            actions.add(new PoolAction.WorkerChanged(run.worker.id(), "suspended", "task is stalled"));
+            stop(run, nowMs, "task is stalled");
         }
     }
 
-    private void absent(RunState run, long nowMs, long wallMs) {
-        if (run.startUnknown && !run.stopAccepted) {
-            // An accepted stop keeps a start that is carried out late from taking effect.
-            stop(run, nowMs, "start without answer");
+    private void onRunAbsent(RunState run, long nowMs, long wallMs) {
+        if (run.startOutcomeUnknown && !run.stopAccepted) {
+            // An accepted stop prevents a start that arrives late from taking effect.
+            stop(run, nowMs, "outcome of start is unknown");
             return;
         }
         finish(run, RunEnd.LEASE_EXPIRED, nowMs, wallMs);
     }
 
     private void adopt(WorkerState worker, RunningTask running, long nowMs) {
-        TaskState task = find(open, running.run().task());
-        boolean wanted = task != null && !task.done && task.run == null;
+        TaskState task = find(unfinished, running.run().task());
+        boolean needed = task != null && !task.done && task.run == null;
         TaskState known = find(jobs, running.run().task());
         Resources reserved = known == null ? Resources.NONE : known.step.spec.reserved();
-        RunState run = new RunState(running.run(), worker, reserved, wanted ? task : null, nowMs);
-        run.unknownSize = known == null;
+        RunState run = new RunState(running.run(), worker, reserved, needed ? task : null, nowMs);
+        run.hasUnknownResources = known == null;
         run.phase = Phase.RUNNING;
-        run.settledAtMs = nowMs;
+        run.resolvedAtMs = nowMs;
         worker.occupy(run);
-        if (wanted && task != null) {
+        if (needed && task != null) {
             task.run = run;
-            task.attempts = Math.max(task.attempts, running.run().attempt());
-            task.step.highestAttempt = Math.max(task.step.highestAttempt, task.attempts);
+            task.lastAttempt = Math.max(task.lastAttempt, running.run().attempt());
+            task.step.highestAttempt = Math.max(task.step.highestAttempt, task.lastAttempt);
             if (!running.checkpoint().isEmpty()) {
                 JobEvents.keepCheckpoint(task, running.checkpoint());
             }
             jobEvents.markRunning(task.step.job);
         } else {
-            stop(run, nowMs, "run of no open task");
+            stop(run, nowMs, "no unfinished task for this run");
         }
     }
 
@@ -198,15 +200,15 @@
             if (run.phase == Phase.STARTING) {
                 run.phase = Phase.RUNNING;
             }
-            run.settledAtMs = nowMs;
+            run.resolvedAtMs = nowMs;
             return;
         }
         if (answer == null) {
-            run.startUnknown = true;
+            run.startOutcomeUnknown = true;
             if (run.phase == Phase.STARTING) {
                 run.phase = Phase.UNRESOLVED;
             }
-            run.settledAtMs = nowMs;
+            run.resolvedAtMs = nowMs;
             return;
         }
         run.worker.release(run);
@@ -217,9 +219,9 @@
         task.run = null;
         StepState step = task.step;
         switch (answer) {
-            case OUTDATED -> step.tasks.forEach(t -> t.attempts += PoolTiming.ATTEMPT_GAP);
+            case OUTDATED -> step.tasks.forEach(t -> t.lastAttempt += PoolTiming.ATTEMPT_GAP);
             case NO_TICKET -> step.tickets.remove(run.worker.id());
-            case UNHEALTHY -> run.worker.health.failed(nowMs);
+            case UNHEALTHY -> run.worker.health.onFailure(nowMs);
             default -> run.worker.lastHoldFailed = true;
         }
     }
@@ -227,16 +229,16 @@
     void onStopReply(RunState run, @Nullable Answer answer, long nowMs) {
         if (answer == Answer.ACCEPTED || answer == Answer.OUTDATED) {
             run.stopAccepted = true;
-            run.settledAtMs = nowMs;
+            run.resolvedAtMs = nowMs;
         }
     }
 
-    private void ended(WorkerState worker, EndedRun ended, long nowMs, long wallMs) {
+    private void onRunEnded(WorkerState worker, EndedRun ended, long nowMs, long wallMs) {
         RunState run = worker.runs.get(ended.run());
-        TaskState task = find(open, ended.run().task());
+        TaskState task = find(unfinished, ended.run().task());
         if (task != null) {
-            task.attempts = Math.max(task.attempts, ended.run().attempt());
-            task.step.highestAttempt = Math.max(task.step.highestAttempt, task.attempts);
+            task.lastAttempt = Math.max(task.lastAttempt, ended.run().attempt());
+            task.step.highestAttempt = Math.max(task.step.highestAttempt, task.lastAttempt);
             if (!ended.checkpoint().isEmpty()) {
                 JobEvents.keepCheckpoint(task, ended.checkpoint());
             }
@@ -244,7 +246,7 @@
         if (run != null) {
             finish(run, ended.end(), nowMs, wallMs);
         } else if (task != null) {
-            // An end that an earlier owner has not acknowledged.
+            // The run was started by an earlier owner, which has not acknowledged its end.
             jobEvents.apply(task, ended.run().attempt(), ended.end(), worker, nowMs, wallMs);
         }
     }
@@ -260,10 +262,10 @@
         }
         if (end == RunEnd.DONE) {
             long tookMs = nowMs - run.sentAtMs;
-            double relative = task.step.spec.fills() ? 1 : durations.relative(task.step, tookMs);
-            run.worker.health.succeeded(relative);
+            double relative = task.step.spec.fills() ? 1 : durations.recordRelative(task.step, tookMs);
+            run.worker.health.onSuccess(relative);
         } else if (end == RunEnd.FAILED) {
-            run.worker.health.failed(nowMs);
+            run.worker.health.onFailure(nowMs);
             task.failedWorker = run.worker.id();
         }
         jobEvents.apply(task, run.run.attempt(), end, run.worker, nowMs, wallMs);
@@ -273,35 +275,35 @@
         actions.add(run.stop(nowMs, reason));
     }
 
-    /** Finds runs that have to be stopped: remains of gangs, filling runs beside serving ones, draining workers. */
-    void review(Collection<WorkerState> workers, long nowMs) {
+    /** Stops runs of incomplete gangs, filling runs beside serving ones, and runs to be evicted from draining workers. */
+    void stopUnwantedRuns(Collection<WorkerState> workers, long nowMs) {
         for (WorkerState worker : workers) {
-            for (RunState run : FillGuard.intruders(worker)) {
-                stopOnce(run, nowMs, "would disturb a serving task");
+            for (RunState run : FillGuard.fillRunsToStop(worker)) {
+                stopIfRunning(run, nowMs, "would interfere with a serving task");
             }
             for (RunState run : List.copyOf(worker.runs.values())) {
                 TaskState task = run.task;
                 if (task == null || run.phase != Phase.RUNNING) {
                     continue;
                 }
-                if (isRemainOfGang(task)) {
-                    stopOnce(run, nowMs, "gang is incomplete");
-                } else if (worker.entry.draining() && shouldLeave(task)) {
-                    stopOnce(run, nowMs, "worker is leaving");
+                if (isInIncompleteGang(task)) {
+                    stopIfRunning(run, nowMs, "gang is incomplete");
+                } else if (worker.entry.draining() && shouldEvict(task)) {
+                    stopIfRunning(run, nowMs, "worker is draining");
                 }
             }
         }
     }
 
-    private static boolean shouldLeave(TaskState task) {
+    private static boolean shouldEvict(TaskState task) {
         return task.step.spec.lasting() || (task.step.spec.checkpoint() && !task.step.spec.gang());
     }
 
-    private static boolean isRemainOfGang(TaskState task) {
+    private static boolean isInIncompleteGang(TaskState task) {
         return task.step.spec.gang() && !task.done && task.step.tasks.stream().anyMatch(member -> member.run == null);
     }
 
-    private void stopOnce(RunState run, long nowMs, String reason) {
+    private void stopIfRunning(RunState run, long nowMs, String reason) {
         if (run.phase == Phase.RUNNING) {
             stop(run, nowMs, reason);
         }
--- a/library/src/main/java/io/radishspindle/pool/core/RunState.java
+++ b/library/src/main/java/io/radishspindle/pool/core/RunState.java
@@ -5,14 +5,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A run that occupies a worker, from the order to start it until the worker has listed its end. Belongs to its
+ * A run that occupies or may occupy a worker, from the start order until its end is reported or certain. Belongs to its
  * scheduler; not thread-safe.
  */
 final class RunState {
-    /** Life cycle on the worker. */
+    /** Phase of the run on its worker. */
     enum Phase {
         STARTING,
-        /** The start got no answer; the next lists of the worker decide. */
+        /** The start got no answer; the next report of the worker resolves the state. */
         UNRESOLVED,
         RUNNING,
         STOPPING
@@ -21,20 +21,20 @@
     final Run run;
     final WorkerState worker;
     final Resources reserved;
-    /** Null for a run that belongs to no open task; it is stopped. */
+    /** Null for a run without an unfinished task; such a run is stopped. */
     final @Nullable TaskState task;
 
-    /** What the run takes is not known, so that nothing may be started beside it. */
-    boolean unknownSize;
+    /** The resources of the run are unknown, so that nothing may be started beside it. */
+    boolean hasUnknownResources;
 
     final long sentAtMs;
     Phase phase = Phase.STARTING;
-    /** Lists that were requested before this time say nothing about the run's absence. */
-    long settledAtMs;
+    /** Absence from a report that was requested before this time doesn't show that the run has ended. */
+    long resolvedAtMs;
 
-    /** The order to start it got no answer, so that it may still be carried out. */
-    boolean startUnknown;
-    /** The worker has accepted a stop, which also bars a start that is carried out later. */
+    /** The start order got no answer, so that it may still be executed. */
+    boolean startOutcomeUnknown;
+    /** The worker has accepted a stop, which also prevents a start that arrives later. */
     boolean stopAccepted;
 
     long stopSentAtMs;
@@ -46,10 +46,10 @@
         this.reserved = reserved;
         this.task = task;
         this.sentAtMs = sentAtMs;
-        settledAtMs = Long.MAX_VALUE;
+        resolvedAtMs = Long.MAX_VALUE;
     }
 
-    /** Marks the run as stopping; yields the order for its worker. */
+    /** Marks the run as stopping; returns the action that stops it. */
     PoolAction.Stop stop(long nowMs, String reason) {
         phase = Phase.STOPPING;
         stopSentAtMs = nowMs;
--- a/library/src/main/java/io/radishspindle/pool/core/SchedulingPass.java
+++ b/library/src/main/java/io/radishspindle/pool/core/SchedulingPass.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Set;
 
-/** Places the waiting tasks of ready steps, in rank order, once. Lives for one pass; not thread-safe. */
+/** Places the waiting tasks of the ready steps in rank order. Used for one scheduling pass; not thread-safe. */
 final class SchedulingPass {
-    /** Gangs that may keep workers free while they wait; more would leave too much of the pool idle. */
+    /** Highest number of waiting gangs that reserve workers; more would leave too much of the pool idle. */
     private static final int MAX_RESERVING_GANGS = 3;
 
     private final Collection<WorkerState> workers;
@@ -18,7 +18,7 @@
     private final Placer placer;
     private final Preemptor preemptor;
     private final AdviceChannels channels;
-    private final RoomForecast forecast;
+    private final CapacityForecast forecast;
     private int reservingGangs;
 
     SchedulingPass(
@@ -26,7 +26,7 @@
             List<PoolAction> actions,
             long nowMs,
             AdviceChannels channels,
-            RoomForecast forecast) {
+            CapacityForecast forecast) {
         this.workers = workers;
         this.actions = actions;
         this.nowMs = nowMs;
@@ -43,14 +43,14 @@
             } else {
                 placeTasks(step, dirty);
             }
-            advise(step);
-            forecast.claim(step);
+            requestAdvice(step);
+            forecast.reserve(step);
         }
     }
 
-    /** While channels are scarce, advice is asked only for steps that are likely to start before it expires. */
-    private void advise(StepState step) {
-        if (step.job.job.advice() == null || !(channels.arePlentiful() || forecast.expectsRoom(step))) {
+    /** While few channels are free, advice is requested only for steps that are likely to start before it expires. */
+    private void requestAdvice(StepState step) {
+        if (step.job.job.advice() == null || !(channels.arePlentiful() || forecast.expectsCapacity(step))) {
             return;
         }
         AdvicePlanner.plan(step, workers, placer, nowMs)
@@ -64,30 +64,33 @@
     private void placeTasks(StepState step, Set<JobState> dirty) {
         boolean exhausted = false;
         for (TaskState task : step.tasks) {
-            if (!task.isWaiting() || nowMs < task.notBeforeMs) {
+            if (!task.isWaiting() || nowMs < task.earliestStartMs) {
                 continue;
             }
             WorkerState worker = exhausted ? null : placer.choose(task);
             if (worker != null) {
-                start(task, worker, task.attempts + 1, task.checkpoint, dirty);
+                start(task, worker, task.lastAttempt + 1, task.checkpoint, dirty);
                 continue;
             }
             exhausted = true;
             if (!mayPreempt(step) || placer.lacksTicket()) {
                 return;
             }
-            stopAll(preemptor.makeRoom(step), "preempted for " + task.name);
+            stopAll(preemptor.freeCapacity(step), "preempted for " + task.name);
         }
     }
 
     private void placeGang(StepState step, Set<JobState> dirty) {
-        if (step.isOccupying() || step.tasks.stream().anyMatch(task -> nowMs < task.notBeforeMs)) {
+        if (step.hasRuns() || step.tasks.stream().anyMatch(task -> nowMs < task.earliestStartMs)) {
             return;
         }
         List<WorkerState> chosen = placer.chooseGang(step);
         if (!chosen.isEmpty()) {
             int attempt = 1
-                    + step.tasks.stream().mapToInt(task -> task.attempts).max().orElse(0);
+                    + step.tasks.stream()
+                            .mapToInt(task -> task.lastAttempt)
+                            .max()
+                            .orElse(0);
             String checkpoint = step.tasks.get(0).checkpoint;
             for (int i = 0; i < chosen.size(); i++) {
                 start(step.tasks.get(i), chosen.get(i), attempt, checkpoint, dirty);
@@ -96,7 +99,7 @@
         }
         if (mayPreempt(step)) {
             for (int i = 0; i < step.tasks.size(); i++) {
-                stopAll(preemptor.makeRoom(step), "preempted for gang " + step.name());
+                stopAll(preemptor.freeCapacity(step), "preempted for gang " + step.name());
             }
         }
         if (reservingGangs < MAX_RESERVING_GANGS) {
@@ -106,7 +109,7 @@
     }
 
     private boolean mayPreempt(StepState step) {
-        return !step.spec.fills() && !step.worthless && nowMs - step.readySinceMs > PoolTiming.PREEMPT_AFTER_MS;
+        return !step.spec.fills() && !step.expired && nowMs - step.readySinceMs > PoolTiming.PREEMPT_AFTER_MS;
     }
 
     private void stopAll(List<RunState> runs, String reason) {
@@ -117,10 +120,10 @@
         StepState step = task.step;
         RunState run = new RunState(new Run(task.name, attempt), worker, step.spec.reserved(), task, nowMs);
         task.run = run;
-        if (task.attempts == 0) {
+        if (task.lastAttempt == 0) {
             step.lastFirstStartMs = nowMs;
         }
-        task.attempts = attempt;
+        task.lastAttempt = attempt;
         step.highestAttempt = Math.max(step.highestAttempt, attempt);
         worker.occupy(run);
         if (step.job.phase == JobPhase.QUEUED) {
--- a/library/src/main/java/io/radishspindle/pool/core/StepState.java
+++ b/library/src/main/java/io/radishspindle/pool/core/StepState.java
@@ -10,12 +10,12 @@
 import java.util.Set;
 
 /**
- * One step of one occurrence of an open job. Belongs to its scheduler; not thread-safe.
+ * The state of one step in one occurrence of a job. Belongs to its scheduler; not thread-safe.
  *
- * <p>Invariant: attempts of a step rise; all members of a gang run share one attempt.
+ * <p>Invariant: attempt numbers of a step increase; all runs of a gang share one attempt number.
  */
 final class StepState {
-    /** Permission to run the step on a worker during one life of it. */
+    /** Permission to run the step on one incarnation of a worker. */
     record Ticket(String text, long validUntilMs, long bootWallMs) {}
 
     final JobState job;
@@ -24,10 +24,10 @@
     final StepSpec spec;
     final List<TaskState> tasks = new ArrayList<>();
     final Map<String, Ticket> tickets = new HashMap<>();
-    final Set<String> askedWorkers = new HashSet<>();
+    final Set<String> queriedWorkers = new HashSet<>();
     boolean adviceInFlight;
-    /** Whether the job had no value left when it was ranked last. */
-    boolean worthless;
+    /** Whether the step had expired at the last ranking. */
+    boolean expired;
 
     int doneTasks;
     int highestAttempt;
@@ -56,7 +56,7 @@
         return doneTasks == tasks.size();
     }
 
-    boolean isOccupying() {
+    boolean hasRuns() {
         return tasks.stream().anyMatch(task -> task.run != null);
     }
 
--- a/library/src/main/java/io/radishspindle/pool/core/TaskState.java
+++ b/library/src/main/java/io/radishspindle/pool/core/TaskState.java
@@ -6,24 +6,24 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One task of an open job. Belongs to its scheduler; not thread-safe.
+ * The state of one task. Belongs to its scheduler; not thread-safe.
  *
- * <p>Invariant: {@code run} is set while a worker holds or may hold a run of the task.
+ * <p>Invariant: {@code run} is set while a worker executes or may execute a run of the task.
  */
 final class TaskState {
     final TaskName name;
     final StepState step;
     boolean done;
-    /** Highest number of a start that is known. */
-    int attempts;
+    /** Highest attempt number known. */
+    int lastAttempt;
 
-    /** Attempts that ended as failed; a set, as an end is listed again after a change of the owner. */
+    /** Attempts that have failed; a set, as workers report an end again after a takeover. */
     final Set<Integer> failedAttempts = new TreeSet<>();
-    /** Ends in a row that were not successes, for the restart pause of lasting tasks. */
-    int endsInRow;
+    /** Consecutive ends of a lasting task as done or failed, for its restart backoff. */
+    int consecutiveEnds;
 
     String checkpoint = "";
-    long notBeforeMs;
+    long earliestStartMs;
 
     @Nullable
     String failedWorker;
--- a/library/src/main/java/io/radishspindle/pool/core/WorkerState.java
+++ b/library/src/main/java/io/radishspindle/pool/core/WorkerState.java
@@ -8,7 +8,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A worker of the pool with the runs that occupy it. Belongs to its scheduler; not thread-safe.
+ * The state of a worker with the runs that occupy or may occupy it. Belongs to its scheduler; not thread-safe.
  *
  * <p>Invariant: {@code used} is the sum of the reservations of {@code runs}.
  */
@@ -19,21 +19,21 @@
     boolean listed = true;
     long bootWallMs;
     boolean answered;
-    /** The entry as it was at the last answer. */
+    /** The registration that was current at the last answer. */
     @Nullable
-    WorkerEntry answeredAs;
+    WorkerEntry entryAtLastAnswer;
 
     boolean lastHoldFailed;
     long lastAnswerMs;
     long clockMs;
     long clockAtMs;
-    /** Our time at which every lease that was granted to the worker has surely ended. */
+    /** Time on the owner's clock at which all leases granted to the worker have certainly expired. */
     long leaseBoundMs;
-    /** When the last hold that failed was sent. */
+    /** Time at which the last failed hold was sent. */
     long failedHoldSentAtMs = Long.MIN_VALUE;
-    /** Highest sequence number of an end that was taken over. */
-    long seenSequence;
-    /** Highest sequence number whose effect is durable. */
+    /** Highest sequence number of an end that was applied. */
+    long appliedSequence;
+    /** Highest sequence number of an end whose effect is durable. */
     long durableSequence;
 
     long drainingSinceMs = -1;
@@ -64,18 +64,18 @@
 
     boolean isUsable(long nowMs) {
         return listed
-                && runs.values().stream().noneMatch(run -> run.unknownSize)
+                && runs.values().stream().noneMatch(run -> run.hasUnknownResources)
                 && answered
                 && !entry.draining()
                 && !lastHoldFailed
-                && nowMs - lastAnswerMs < PoolTiming.SILENT_MS;
+                && nowMs - lastAnswerMs < PoolTiming.UNRESPONSIVE_AFTER_MS;
     }
 
-    /** End of a lease granted now, on the worker's clock; moves the bound on our clock with it. */
+    /** Grants a lease: returns its expiry on the worker's clock and raises the bound on the owner's clock. */
     long grantLease(long nowMs) {
         long sinceAnswerMs = nowMs - clockAtMs;
         long boundMs = clockAtMs
-                + (long) Math.ceil((sinceAnswerMs + PoolTiming.LEASE_MS) / PoolTiming.SLOWEST_CLOCK)
+                + (long) Math.ceil((sinceAnswerMs + PoolTiming.LEASE_MS) / PoolTiming.MIN_CLOCK_RATE)
                 + PoolTiming.LEASE_MARGIN_MS;
         leaseBoundMs = Math.max(leaseBoundMs, boundMs);
         return clockMs + sinceAnswerMs + PoolTiming.LEASE_MS;
--- a/library/src/main/java/io/radishspindle/pool/core/package-info.java
+++ b/library/src/main/java/io/radishspindle/pool/core/package-info.java
@@ -1,3 +1,3 @@
-/** Scheduling decisions of one pool: deterministic, without I/O and without a clock of their own. */
+/** Scheduling decisions of one pool: deterministic, without I/O; all times are passed in. */
 @org.jspecify.annotations.NullMarked
 package io.radishspindle.pool.core;
