--- a/library/src/test/java/io/radishspindle/pool/core/EndedTaskTest.java
+++ b/library/src/test/java/io/radishspindle/pool/core/EndedTaskTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Guards against a task that runs again after it has succeeded. */
+/**
+ * Guards against a second run of a task while its first run may still be active or after it has succeeded, and against
+ * failures that are counted twice: after a takeover, a lost worker, an unavailable store or a start without an answer.
+ */
 class EndedTaskTest {
     private final PoolSimulation pool = new PoolSimulation(5);
 
@@ -20,18 +23,18 @@
     }
 
     @Test
-    void should_not_run_a_succeeded_task_again_when_the_owner_changes_while_the_store_is_away() {
+    void should_not_run_a_succeeded_task_again_when_the_owner_changes_while_the_store_is_unavailable() {
         // given
         pool.submit(SimJobs.job("j", 0, pool.nowMs, SimJobs.step(4, 1_000, 0, 500)));
         pool.runUntil(1_700);
-        pool.storeDown = true;
+        pool.storeUnavailable = true;
         pool.runUntil(2_600);
         int startsBefore = pool.history.starts;
 
         // when
         pool.changeOwner();
         pool.runUntil(4_000);
-        pool.storeDown = false;
+        pool.storeUnavailable = false;
         pool.runUntil(8_000);
 
         // then
@@ -44,20 +47,20 @@
         // given
         pool.submit(SimJobs.job("j", 0, pool.nowMs, SimJobs.step(2, 1_000, 0, 500)));
         pool.runUntil(1_700);
-        pool.storeDown = true;
+        pool.storeUnavailable = true;
 
         // when
         pool.runUntil(4_000);
 
         // then
         assertThat(pool.phase("j")).contains(JobPhase.QUEUED);
-        pool.storeDown = false;
+        pool.storeUnavailable = false;
         pool.runUntil(4_200);
         assertThat(pool.phase("j")).contains(JobPhase.COMPLETED);
     }
 
     @Test
-    void should_not_run_a_task_elsewhere_before_the_lease_of_a_silent_worker_has_ended() {
+    void should_not_run_a_task_elsewhere_before_the_lease_of_an_unreachable_worker_has_expired() {
         // given
         pool.submit(SimJobs.job("j", 0, pool.nowMs, SimJobs.step(4, 1_000, 0, 3_000)));
         pool.runUntil(2_000);
@@ -67,7 +70,7 @@
                 .orElseThrow();
 
         // when
-        busy.silent = true;
+        busy.unreachable = true;
         pool.runUntil(15_000);
 
         // then
@@ -76,14 +79,14 @@
     }
 
     @Test
-    void should_bar_a_start_without_answer_before_it_starts_the_task_elsewhere() {
+    void should_prevent_a_late_start_before_it_starts_the_task_elsewhere() {
         // given
-        pool.lateOrders = 1;
+        pool.lateOrderProbability = 1;
         pool.submit(SimJobs.job("j", 0, pool.nowMs, SimJobs.step(3, 1_000, 0, 500)));
         pool.runUntil(1_600);
 
         // when
-        pool.lateOrders = 0;
+        pool.lateOrderProbability = 0;
         pool.runUntil(20_000);
 
         // then
@@ -92,16 +95,16 @@
     }
 
     @Test
-    void should_count_a_failed_run_once_when_its_end_is_listed_to_two_owners() {
+    void should_count_a_failed_run_once_when_its_end_is_reported_to_two_owners() {
         // given
-        pool.failures = 1;
+        pool.failureProbability = 1;
         pool.submit(SimJobs.job("j", 0, pool.nowMs, SimJobs.step(1, 1_000, 0, 500)));
         pool.runUntil(2_600);
         int startsBefore = pool.history.starts;
 
         // when
         pool.changeOwner();
-        pool.failures = 0;
+        pool.failureProbability = 0;
         pool.runUntil(9_000);
 
         // then
--- a/library/src/test/java/io/radishspindle/pool/core/LimitedChannels.java
+++ b/library/src/test/java/io/radishspindle/pool/core/LimitedChannels.java
@@ -1,26 +1,26 @@
 package io.radishspindle.pool.core;
 
-/** A number of equal channels. Not thread-safe. */
+/** A fixed number of channels that accept calls of any duration. Not thread-safe. */
 final class LimitedChannels implements AdviceChannels {
     private final int total;
-    private int left;
+    private int available;
 
-    LimitedChannels(int left, int total) {
-        this.left = left;
+    LimitedChannels(int available, int total) {
+        this.available = available;
         this.total = total;
     }
 
     @Override
     public boolean tryAcquire(long expectedMs) {
-        if (left <= 0) {
+        if (available <= 0) {
             return false;
         }
-        left--;
+        available--;
         return true;
     }
 
     @Override
     public boolean arePlentiful() {
-        return 2 * left > total;
+        return 2 * available > total;
     }
 }
--- a/library/src/test/java/io/radishspindle/pool/core/LoadPatternsTest.java
+++ b/library/src/test/java/io/radishspindle/pool/core/LoadPatternsTest.java
@@ -8,7 +8,10 @@
 import io.radishspindle.pool.model.TaskName;
 import org.junit.jupiter.api.Test;
 
-/** Guards the waiting times of urgent and wide work under the load patterns that the test names say. */
+/**
+ * Guards against long waiting times of urgent jobs and gangs, starvation and interference, under the load patterns
+ * that the test names state.
+ */
 class LoadPatternsTest {
     private final PoolSimulation pool = new PoolSimulation(11);
 
@@ -19,7 +22,7 @@
         pool.runUntil(1_500);
     }
 
-    private long firstStart(String job, int tasks) {
+    private long lastFirstStartMs(String job, int tasks) {
         long last = 0;
         for (int i = 0; i < tasks; i++) {
             last = Math.max(last, pool.history.firstStartMs.getOrDefault(new TaskName(job, 0, 0, i), Long.MAX_VALUE));
@@ -28,7 +31,7 @@
     }
 
     @Test
-    void burst_of_batch_before_an_urgent_job_should_not_delay_it_beyond_a_preemption() {
+    void should_delay_an_urgent_job_after_a_burst_of_batch_by_no_more_than_a_preemption() {
         // given
         addWorkers(4, 16_000, 0);
         for (int i = 0; i < 20; i++) {
@@ -42,12 +45,12 @@
         pool.runUntil(5_000);
 
         // then
-        assertThat(firstStart("urgent", 6) - submittedMs).isLessThan(1_000);
+        assertThat(lastFirstStartMs("urgent", 6) - submittedMs).isLessThan(1_000);
         assertThat(pool.history.violations).isEmpty();
     }
 
     @Test
-    void wide_gang_among_small_accelerator_tasks_should_start_without_waiting_for_all_of_them() {
+    void should_start_a_large_gang_without_waiting_for_all_small_accelerator_tasks() {
         // given
         addWorkers(4, 64_000, 8);
         for (int i = 0; i < 20; i++) {
@@ -61,13 +64,13 @@
         pool.runUntil(8_000);
 
         // then
-        assertThat(firstStart("gang", 2) - submittedMs).isLessThan(1_500);
+        assertThat(lastFirstStartMs("gang", 2) - submittedMs).isLessThan(1_500);
         assertThat(pool.phase("gang")).contains(JobPhase.COMPLETED);
         assertThat(pool.history.violations).isEmpty();
     }
 
     @Test
-    void filling_tasks_should_leave_a_worker_when_a_serving_task_joins_it() {
+    void should_stop_filling_tasks_on_a_worker_that_starts_a_serving_task() {
         // given
         addWorkers(2, 4_000, 0);
         pool.submit(SimJobs.job("fill", 2, pool.nowMs, SimJobs.filling(6, 2_000, 30_000)));
@@ -79,49 +82,49 @@
 
         // then
         for (SimWorker worker : pool.workers.values()) {
-            boolean serves = worker.running.keySet().stream()
+            boolean isServing = worker.running.keySet().stream()
                     .anyMatch(run -> run.task().jobId().equals("serve"));
             boolean fills = worker.running.keySet().stream()
                     .anyMatch(run -> run.task().jobId().equals("fill"));
-            assertThat(serves && fills).as("worker " + worker.entry.id()).isFalse();
+            assertThat(isServing && fills).as("worker " + worker.entry.id()).isFalse();
         }
-        assertThat(firstStart("serve", 2)).isLessThan(Long.MAX_VALUE);
+        assertThat(lastFirstStartMs("serve", 2)).isLessThan(Long.MAX_VALUE);
     }
 
     @Test
-    void job_that_always_fails_should_end_after_its_attempts_and_leave_the_pool_to_others() {
+    void should_fail_a_job_after_its_maximum_attempts_and_run_other_jobs_then() {
         // given
         addWorkers(3, 8_000, 0);
-        pool.failures = 1;
-        pool.submit(SimJobs.job("hopeless", 0, pool.nowMs, SimJobs.step(1, 1_000, 0, 200)));
+        pool.failureProbability = 1;
+        pool.submit(SimJobs.job("failing", 0, pool.nowMs, SimJobs.step(1, 1_000, 0, 200)));
         pool.runUntil(20_000);
 
         // when
-        pool.failures = 0;
+        pool.failureProbability = 0;
         pool.submit(SimJobs.job("fine", 0, pool.nowMs, SimJobs.step(3, 1_000, 0, 200)));
         pool.runUntil(30_000);
 
         // then
-        assertThat(pool.phase("hopeless")).contains(JobPhase.FAILED);
+        assertThat(pool.phase("failing")).contains(JobPhase.FAILED);
         assertThat(pool.phase("fine")).contains(JobPhase.COMPLETED);
         assertThat(pool.history.starts).isEqualTo(6);
     }
 
     @Test
-    void lasting_tasks_should_be_started_again_after_their_worker_has_restarted() {
+    void should_start_lasting_tasks_again_after_their_worker_has_restarted() {
         // given
         addWorkers(3, 8_000, 0);
         pool.submit(SimJobs.job("watchers", 1, pool.nowMs, SimJobs.serving(6, 2_000)));
         pool.runUntil(3_000);
         SimWorker worker = pool.workers.get("w0");
-        int before = worker.running.size();
+        int runningBefore = worker.running.size();
 
         // when
         worker.restart(pool.nowMs);
         pool.runUntil(5_500);
 
         // then
-        assertThat(before).isPositive();
+        assertThat(runningBefore).isPositive();
         int running =
                 pool.workers.values().stream().mapToInt(w -> w.running.size()).sum();
         assertThat(running).isEqualTo(6);
@@ -129,11 +132,11 @@
     }
 
     /**
-     * Guards against a backlog whose tickets expire again and again: its renewals took all calls for advice, so that
-     * urgent work waited for its own.
+     * Guards against a backlog whose tickets expire repeatedly: their renewals used all advice channels, so that
+     * urgent jobs waited for their own advice.
      */
     @Test
-    void backlog_of_advised_batch_should_leave_calls_for_advice_to_urgent_work() {
+    void should_leave_advice_channels_free_despite_a_backlog_of_batch_jobs_with_advice() {
         // given
         addWorkers(4, 16_000, 0);
         pool.adviceChannels = 3;
@@ -144,20 +147,20 @@
         pool.runUntil(4_000);
 
         // when
-        int busiest = 0;
+        int maxAdviceCalls = 0;
         while (pool.nowMs < 8_000) {
             pool.runUntil(pool.nowMs + 50);
-            busiest = Math.max(busiest, pool.adviceCalls);
+            maxAdviceCalls = Math.max(maxAdviceCalls, pool.adviceCalls);
         }
 
         // then
-        assertThat(busiest).isLessThan(pool.adviceChannels);
+        assertThat(maxAdviceCalls).isLessThan(pool.adviceChannels);
         assertThat(pool.history.violations).isEmpty();
     }
 
-    /** Guards against small jobs that are starved by wide urgent ones which have lost their value long ago. */
+    /** Guards against starvation of small jobs by large urgent gangs that expired long ago. */
     @Test
-    void backlog_of_worthless_urgent_gangs_should_not_keep_batch_from_its_objective() {
+    void should_start_batch_in_time_despite_a_backlog_of_expired_urgent_gangs() {
         // given
         addWorkers(1, 64_000, 8);
         for (int i = 0; i < 20; i++) {
@@ -171,16 +174,16 @@
         pool.runUntil(30_000);
 
         // then
-        assertThat(firstStart("small", 8) - submittedMs).isLessThan(4_500);
+        assertThat(lastFirstStartMs("small", 8) - submittedMs).isLessThan(4_500);
         pool.runUntil(80_000);
         for (int i = 0; i < 20; i++) {
             assertThat(pool.phase("gang" + i)).contains(JobPhase.COMPLETED);
         }
     }
 
-    /** Guards against an overload in which every job is late because the one that is latest always goes first. */
+    /** Guards against an overload in which every job is late because the latest job is always scheduled first. */
     @Test
-    void jobs_after_a_burst_should_meet_their_objective_before_those_that_can_not_any_more() {
+    void should_prefer_jobs_that_can_meet_their_objective_to_late_jobs_of_a_burst() {
         // given
         addWorkers(1, 4_000, 0);
         for (int i = 0; i < 10; i++) {
@@ -198,7 +201,7 @@
 
         // then
         for (int i = 0; i < submitted; i++) {
-            if (firstStart("later" + i, 4) - (3_000 + i * 1_500L) < 1_400) {
+            if (lastFirstStartMs("later" + i, 4) - (3_000 + i * 1_500L) < 1_400) {
                 inTime++;
             }
         }
--- a/library/src/test/java/io/radishspindle/pool/core/PausedOwnerTest.java
+++ b/library/src/test/java/io/radishspindle/pool/core/PausedOwnerTest.java
@@ -10,8 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Pattern: the owner of a pool is paused for some seconds and wakes with answers that came before. Guards against
- * orders on a permission that has run out: a worker that has restarted meanwhile knows no fencing token.
+ * Guards against an owner that sends orders after its ownership has expired: it was paused for some seconds and
+ * resumes with answers from before the pause. Workers can't always reject it, as a worker that has restarted meanwhile
+ * has no fencing token.
  */
 class PausedOwnerTest {
     private static final WorkerEntry WORKER = new WorkerEntry(
@@ -35,7 +36,7 @@
     }
 
     @Test
-    void should_start_nothing_after_a_pause_before_a_worker_answers_anew() {
+    void should_start_nothing_after_a_pause_until_a_worker_answers_again() {
         // given
         scheduler.invalidateEarlierAnswers(nowMs);
 
@@ -59,7 +60,7 @@
     }
 
     @Test
-    void should_go_on_with_an_answer_to_a_later_hold() {
+    void should_resume_with_an_answer_to_a_later_hold() {
         // given
         scheduler.invalidateEarlierAnswers(nowMs);
 
--- a/library/src/test/java/io/radishspindle/pool/core/PoolInvariantsTest.java
+++ b/library/src/test/java/io/radishspindle/pool/core/PoolInvariantsTest.java
@@ -11,20 +11,20 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Guards against doubled tasks, reruns after an acknowledged success, overcommitted workers and lost jobs under
- * random faults.
+ * Guards against concurrent runs of a task, runs after an acknowledged success, overcommitted workers and lost jobs
+ * under random faults of workers, store, owner and network.
  */
 class PoolInvariantsTest {
     private static final long END_MS = 90_000;
 
-    /** A worker restarted while it was cut off, and the number of an old end acknowledged a new one unseen. */
-    private static final long RESTART_BEHIND_A_CUT = 153;
+    /** A worker restarted while unreachable, and the sequence number of an old end acknowledged an unreported new end. */
+    private static final long RESTART_WHILE_UNREACHABLE_SEED = 153;
 
-    /** Seeds of the run; more can be asked for with {@code -Dpool.seeds=first-last}. */
+    /** Seeds of the test; {@code -Dpool.seeds=first-last} selects another range. */
     static LongStream seeds() {
         String[] range = System.getProperty("pool.seeds", "1-20").split("-");
-        LongStream asked = LongStream.rangeClosed(Long.parseLong(range[0]), Long.parseLong(range[1]));
-        return LongStream.concat(LongStream.of(RESTART_BEHIND_A_CUT), asked);
+        LongStream selected = LongStream.rangeClosed(Long.parseLong(range[0]), Long.parseLong(range[1]));
+        return LongStream.concat(LongStream.of(RESTART_WHILE_UNREACHABLE_SEED), selected);
     }
 
     @ParameterizedTest
@@ -35,22 +35,22 @@
         for (int i = 0; i < 10; i++) {
             pool.addWorker("w" + i, new Resources(16_000, 32_000, 8), "r" + i / 3);
         }
-        pool.lateOrders = 0.02;
-        pool.lostAnswers = 0.02;
-        pool.failures = 0.02;
+        pool.lateOrderProbability = 0.02;
+        pool.lostAnswerProbability = 0.02;
+        pool.failureProbability = 0.02;
 
         // when
         List<String> jobs = new ArrayList<>();
         while (pool.nowMs < 40_000) {
-            submitSome(pool, jobs);
-            disturb(pool);
+            submitJobs(pool, jobs);
+            injectFault(pool);
             pool.runUntil(pool.nowMs + 250);
         }
-        pool.workers.values().forEach(worker -> worker.silent = false);
-        pool.storeDown = false;
-        pool.lateOrders = 0;
-        pool.lostAnswers = 0;
-        pool.failures = 0;
+        pool.workers.values().forEach(worker -> worker.unreachable = false);
+        pool.storeUnavailable = false;
+        pool.lateOrderProbability = 0;
+        pool.lostAnswerProbability = 0;
+        pool.failureProbability = 0;
         pool.runUntil(END_MS);
 
         // then
@@ -61,7 +61,7 @@
                 .contains(true));
     }
 
-    private static void submitSome(PoolSimulation pool, List<String> jobs) {
+    private static void submitJobs(PoolSimulation pool, List<String> jobs) {
         for (int i = 0; i < 2; i++) {
             String id = "j" + jobs.size();
             int kind = pool.random().nextInt(4);
@@ -80,18 +80,18 @@
         }
     }
 
-    private static void disturb(PoolSimulation pool) {
+    private static void injectFault(PoolSimulation pool) {
         List<SimWorker> workers = List.copyOf(pool.workers.values());
         SimWorker worker = workers.get(pool.random().nextInt(workers.size()));
         switch (pool.random().nextInt(24)) {
-            case 0 -> worker.silent = true;
-            case 1, 2 -> workers.forEach(other -> other.silent = false);
+            case 0 -> worker.unreachable = true;
+            case 1, 2 -> workers.forEach(other -> other.unreachable = false);
             case 3 -> worker.restart(pool.nowMs);
             case 4 -> pool.changeOwner();
-            case 5 -> pool.storeDown = true;
-            case 6, 7 -> pool.storeDown = false;
+            case 5 -> pool.storeUnavailable = true;
+            case 6, 7 -> pool.storeUnavailable = false;
             default -> {
-                // most periods are quiet
+                // no fault in most periods
             }
         }
     }
--- a/library/src/test/java/io/radishspindle/pool/core/PoolSimulation.java
+++ b/library/src/test/java/io/radishspindle/pool/core/PoolSimulation.java
@@ -29,15 +29,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One pool with its owner, workers and store in virtual time, with faults by chance. Deterministic for a seed; not
- * thread-safe.
+ * Simulates a pool with its owner, workers and store in virtual time, with random faults. Deterministic for a seed;
+ * not thread-safe.
  */
 final class PoolSimulation {
     private static final int MAX_WRITES = 3;
     private static final long MAX_WRITE_MS = 300;
     private static final long STEP_MS = 5;
     private static final long MAX_LATENCY_MS = 12;
-    private static final long WRITE_EVERY_MS = 40;
+    private static final long WRITE_INTERVAL_MS = 40;
 
     private record Event(long atMs, long order, Runnable action) {}
 
@@ -50,27 +50,28 @@
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::atMs).thenComparingLong(Event::order));
     PoolScheduler scheduler = new PoolScheduler();
-    private long token = 1;
+    private long fencingToken = 1;
     private long eventCount;
     long nowMs = 1_000;
-    boolean storeDown;
-    /** Chance that an order is carried out seconds later and never answered. */
-    double lateOrders;
-    /** Chance that the answer to an order is lost. */
-    double lostAnswers;
-    /** Chance that a run fails. */
-    double failures;
+    boolean storeUnavailable;
+    /** Probability that an order is executed seconds later and never answered. */
+    double lateOrderProbability;
+    /** Probability that the answer to an order is lost. */
+    double lostAnswerProbability;
+    /** Probability that a run fails. */
+    double failureProbability;
 
-    /** Calls for advice that are handled at the same time. */
+    /** Highest number of concurrent advice calls. */
     int adviceChannels = 4;
 
     int adviceCalls;
     ToLongFunction<StepSpec> workMs = StepSpec::estimateMs;
     private long nextWriteMs;
-    /** Writes of progress without an outcome, and the jobs in them. */
-    private int writes;
+    /** Number of progress writes in flight. */
+    private int writesInFlight;
 
-    private final Set<String> underWay = new HashSet<>();
+    /** Ids of the jobs in these writes. */
+    private final Set<String> inFlight = new HashSet<>();
 
     PoolSimulation(long seed) {
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
@@ -85,7 +86,7 @@
                 new WorkerEntry(id, "pool", "10.0.0.1", 80, "dc", rack, false, -1, 500, capacity, List.of("a", rack));
         workers.put(id, new SimWorker(entry, history));
         scheduler.onWorkerRegistered(entry, nowMs);
-        poll(id, scheduler, token);
+        poll(id, scheduler, fencingToken);
     }
 
     void submit(PoolJob job) {
@@ -98,16 +99,16 @@
         scheduler.cancel(jobId, nowMs);
     }
 
-    /** Another VM claims the pool from what is stored; the previous owner falls silent. */
+    /** Another VM takes over the pool from the stored state; the previous owner stops. */
     void changeOwner() {
-        token++;
+        fencingToken++;
         scheduler = new PoolScheduler();
-        writes = 0;
-        underWay.clear();
+        writesInFlight = 0;
+        inFlight.clear();
         storedJobs.values().forEach(this::load);
         scheduler.beginRecovery(nowMs);
         workers.values().forEach(worker -> scheduler.onWorkerRegistered(worker.entry, nowMs));
-        workers.keySet().forEach(id -> poll(id, scheduler, token));
+        workers.keySet().forEach(id -> poll(id, scheduler, fencingToken));
     }
 
     private void load(PoolJob job) {
@@ -148,23 +149,23 @@
     }
 
     private void write() {
-        if (storeDown || nowMs < nextWriteMs || writes >= MAX_WRITES || !hasDirty()) {
+        if (storeUnavailable || nowMs < nextWriteMs || writesInFlight >= MAX_WRITES || !hasDirty()) {
             return;
         }
-        nextWriteMs = nowMs + WRITE_EVERY_MS;
+        nextWriteMs = nowMs + WRITE_INTERVAL_MS;
         PoolScheduler owner = scheduler;
-        Batch batch = owner.progress().take(20, underWay);
+        Batch batch = owner.progress().take(20, inFlight);
         Set<String> jobs = batch.progress().keySet();
-        writes++;
-        underWay.addAll(jobs);
-        // Writes overtake each other, as they do at a slow store.
+        writesInFlight++;
+        inFlight.addAll(jobs);
+        // Writes may complete out of order, as they do at a slow store.
         after(latency() + random.nextLong(MAX_WRITE_MS), () -> {
             if (owner != scheduler) {
                 return;
             }
-            writes--;
-            underWay.removeAll(jobs);
-            if (storeDown) {
+            writesInFlight--;
+            inFlight.removeAll(jobs);
+            if (storeUnavailable) {
                 owner.progress().onWriteFailed(batch);
             } else {
                 storedProgress.putAll(batch.progress());
@@ -174,8 +175,8 @@
     }
 
     private boolean hasDirty() {
-        return scheduler.progress().hasDirty(underWay)
-                || (writes == 0 && scheduler.progress().hasUnacknowledged());
+        return scheduler.progress().hasDirty(inFlight)
+                || (writesInFlight == 0 && scheduler.progress().hasUnacknowledged());
     }
 
     private void poll(String id, PoolScheduler owner, long ownToken) {
@@ -188,7 +189,7 @@
         long bootWallMs = worker.bootWallMs;
         long waitMs = worker.hasEnds() ? 0 : Math.min(order.waitMs(), 200);
         after(latency() + waitMs, () -> {
-            if (worker.silent || worker.bootWallMs != bootWallMs) {
+            if (worker.unreachable || worker.bootWallMs != bootWallMs) {
                 owner.onHoldFailed(id, sentAtMs);
                 after(PoolTiming.HOLD_RETRY_MS, () -> poll(id, owner, ownToken));
                 return;
@@ -212,38 +213,43 @@
         if (action instanceof PoolAction.Start start) {
             StartOrder order = start.order();
             StartOrder fenced = new StartOrder(
-                    order.run(), order.payload(), order.leaseEndWorkerMs(), token, order.checkpoint(), order.ticket());
+                    order.run(),
+                    order.payload(),
+                    order.leaseEndWorkerMs(),
+                    fencingToken,
+                    order.checkpoint(),
+                    order.ticket());
             send(start.worker().id(), worker -> startOn(worker, fenced), answer -> {
                 if (owner == scheduler) {
                     owner.onStartReply(start.worker().id(), order.run(), answer, nowMs);
                 }
             });
         } else if (action instanceof PoolAction.Stop stop) {
-            long sentToken = token;
+            long sentToken = fencingToken;
             send(stop.worker().id(), worker -> worker.stop(stop.run(), sentToken, nowMs), answer -> {
                 if (owner == scheduler) {
                     owner.onStopReply(stop.worker().id(), stop.run(), answer, nowMs);
                 }
             });
-        } else if (action instanceof PoolAction.Advise ask) {
+        } else if (action instanceof PoolAction.Advise advise) {
             Map<String, String> tickets = new HashMap<>();
-            ask.workers().forEach(id -> tickets.put(id, "t"));
+            advise.workers().forEach(id -> tickets.put(id, "t"));
             adviceCalls++;
-            after(ask.expectedMs(), () -> {
+            after(advise.expectedMs(), () -> {
                 adviceCalls--;
-                owner.onAdvice(ask.step(), ask.workers(), new Advice(tickets, 2_000), nowMs);
+                owner.onAdvice(advise.step(), advise.workers(), new Advice(tickets, 2_000), nowMs);
             });
         }
     }
 
-    /** Null as an answer stands for none. */
+    /** Sends an order; {@code onAnswer} receives null if there is no answer. */
     private void send(String id, Function<SimWorker, Answer> order, Consumer<@Nullable Answer> onAnswer) {
         SimWorker worker = workers.get(id);
         long bootWallMs = worker.bootWallMs;
-        if (random.nextDouble() < lateOrders) {
-            // An order that a worker holds back is lost when the worker restarts.
+        if (random.nextDouble() < lateOrderProbability) {
+            // A delayed order is lost if the worker restarts.
             after(2_000 + random.nextLong(10_000), () -> {
-                if (!worker.silent && worker.bootWallMs == bootWallMs) {
+                if (!worker.unreachable && worker.bootWallMs == bootWallMs) {
                     order.apply(worker);
                 }
             });
@@ -251,12 +257,12 @@
             return;
         }
         after(latency(), () -> {
-            if (worker.silent) {
+            if (worker.unreachable) {
                 after(900, () -> onAnswer.accept(null));
                 return;
             }
             Answer answer = order.apply(worker);
-            boolean lost = random.nextDouble() < lostAnswers;
+            boolean lost = random.nextDouble() < lostAnswerProbability;
             after(lost ? 900 : latency(), () -> onAnswer.accept(lost ? null : answer));
         });
     }
@@ -264,8 +270,8 @@
     private Answer startOn(SimWorker worker, StartOrder order) {
         PoolJob job = storedJobs.get(order.run().task().jobId());
         StepSpec step = job.steps().get(order.run().task().step());
-        RunEnd end = random.nextDouble() < failures ? RunEnd.FAILED : RunEnd.DONE;
-        long took = step.lasting() ? Long.MAX_VALUE / 4 : workMs.applyAsLong(step);
-        return worker.start(order, nowMs, step.perTask(), step.fills(), took, end);
+        RunEnd end = random.nextDouble() < failureProbability ? RunEnd.FAILED : RunEnd.DONE;
+        long durationMs = step.lasting() ? Long.MAX_VALUE / 4 : workMs.applyAsLong(step);
+        return worker.start(order, nowMs, step.perTask(), step.fills(), durationMs, end);
     }
 }
--- a/library/src/test/java/io/radishspindle/pool/core/ProgressLedgerTest.java
+++ b/library/src/test/java/io/radishspindle/pool/core/ProgressLedgerTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Guards against an end that is acknowledged, and so forgotten by its worker, before its effect is durable. */
+/** Guards against an end that is acknowledged, and so dropped by its worker, before its effect is durable. */
 class ProgressLedgerTest {
     private static final Set<String> NONE = Set.of();
 
@@ -17,7 +17,7 @@
 
     @BeforeEach
     void finishTwoJobs() {
-        pool.storeDown = true;
+        pool.storeUnavailable = true;
         pool.addWorker("w", new Resources(16_000, 32_000, 0), "r");
         pool.submit(SimJobs.job("a", 0, pool.nowMs, SimJobs.step(1, 1_000, 0, 100)));
         pool.submit(SimJobs.job("b", 0, pool.nowMs, SimJobs.step(1, 1_000, 0, 100)));
@@ -28,7 +28,7 @@
 
     @Test
     void should_acknowledge_only_when_all_earlier_batches_are_durable() {
-        // given two batches under way, the second one with the last ends
+        // given two batches in flight, the second one with the last ends
         Batch first = ledger.take(1, NONE);
         Batch second = ledger.take(1, first.progress().keySet());
 
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void should_acknowledge_nothing_that_a_failed_batch_was_to_record() {
+    void should_not_acknowledge_ends_whose_batch_failed() {
         // given
         Batch first = ledger.take(1, NONE);
         Batch second = ledger.take(1, first.progress().keySet());
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void should_leave_out_jobs_that_are_under_way() {
+    void should_leave_out_jobs_that_are_in_flight() {
         // given
         Batch first = ledger.take(1, NONE);
 
--- a/library/src/test/java/io/radishspindle/pool/core/ReplacedWorkerTest.java
+++ b/library/src/test/java/io/radishspindle/pool/core/ReplacedWorkerTest.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards tasks of a worker whose address has gone to another worker: they waited for the end of all leases although
- * nothing of the earlier worker could be left.
+ * Guards against needlessly delayed tasks of a worker whose address was reassigned to another worker: they waited for
+ * the expiry of all leases although the earlier worker had ended.
  */
 class ReplacedWorkerTest {
     private final PoolScheduler scheduler = new PoolScheduler();
     private final WorkerEntry first = entry("first", 80, 2_000);
     private final WorkerEntry second = entry("second", 81, 2_000);
-    /** Answers, so that most workers do, but has no room. */
+    /** Answers, so that a majority of the workers does, but has no capacity for the task. */
     private final WorkerEntry tiny = entry("tiny", 82, 1);
 
     private long nowMs = 10_000;
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void should_wait_for_the_leases_when_the_entry_has_moved_to_an_address_that_never_answered() {
+    void should_wait_for_the_leases_when_the_new_address_of_the_worker_has_never_answered() {
         // given
         WorkerEntry moved = entry("first", 90, 2_000);
         scheduler.onWorkerRegistered(moved, nowMs);
--- a/library/src/test/java/io/radishspindle/pool/core/SimHistory.java
+++ b/library/src/test/java/io/radishspindle/pool/core/SimHistory.java
@@ -11,8 +11,8 @@
 import java.util.Set;
 
 /**
- * Checks what workers see: a task never runs twice at once, and never again after its success was acknowledged. Not
- * thread-safe.
+ * Records the runs on the workers and checks that a task never has two runs at once, and none after its success was
+ * acknowledged. Not thread-safe.
  */
 final class SimHistory {
     private final Map<TaskName, Set<String>> running = new HashMap<>();
@@ -32,11 +32,11 @@
         if (acknowledgedSuccess.contains(run.task())) {
             violation(run + " started after its success was acknowledged");
         }
-        Set<String> places = running.computeIfAbsent(run.task(), ignored -> new HashSet<>());
-        if (!places.isEmpty()) {
-            violation(run + " started at " + worker + " while it ran at " + places);
+        Set<String> runningOn = running.computeIfAbsent(run.task(), ignored -> new HashSet<>());
+        if (!runningOn.isEmpty()) {
+            violation(run + " started at " + worker + " while it ran at " + runningOn);
         }
-        places.add(worker);
+        runningOn.add(worker);
     }
 
     void ended(Run run, String worker, RunEnd end) {
@@ -46,7 +46,7 @@
         }
     }
 
-    void vanished(Run run, String worker) {
+    void lost(Run run, String worker) {
         running.getOrDefault(run.task(), new HashSet<>()).remove(worker);
     }
 
--- a/library/src/test/java/io/radishspindle/pool/core/SimJobs.java
+++ b/library/src/test/java/io/radishspindle/pool/core/SimJobs.java
@@ -6,28 +6,29 @@
 import io.radishspindle.pool.model.StepSpec;
 import java.util.List;
 
-/** Jobs for tests. Stateless; thread-safe. */
+/** Factory of jobs and steps for tests. Stateless; thread-safe. */
 final class SimJobs {
     private SimJobs() {}
 
     static StepSpec step(int count, long milliCores, int accelerators, long estimateMs, Integer... after) {
-        return of(count, new Resources(milliCores, 100, accelerators), estimateMs, List.of(after), false, 0, false);
+        return createStep(
+                count, new Resources(milliCores, 100, accelerators), estimateMs, List.of(after), false, 0, false);
     }
 
     static StepSpec gang(int count, long milliCores, int accelerators, long estimateMs) {
-        return of(count, new Resources(milliCores, 100, accelerators), estimateMs, List.of(), true, 0, false);
+        return createStep(count, new Resources(milliCores, 100, accelerators), estimateMs, List.of(), true, 0, false);
     }
 
     static StepSpec serving(int count, long milliCores) {
-        return of(count, new Resources(milliCores, 100, 0), 400, List.of(), false, 50, false);
+        return createStep(count, new Resources(milliCores, 100, 0), 400, List.of(), false, 50, false);
     }
 
     static StepSpec filling(int count, long milliCores, long estimateMs) {
-        return of(count, new Resources(milliCores, 100, 0), estimateMs, List.of(), false, 0, true);
+        return createStep(count, new Resources(milliCores, 100, 0), estimateMs, List.of(), false, 0, true);
     }
 
-    /** A step with a target lasts; other steps save checkpoints. */
-    private static StepSpec of(
+    /** Creates a step: lasting if it has a response-time target, otherwise with checkpoints. */
+    private static StepSpec createStep(
             int count,
             Resources perTask,
             long estimateMs,
--- a/library/src/test/java/io/radishspindle/pool/core/SimWorker.java
+++ b/library/src/test/java/io/radishspindle/pool/core/SimWorker.java
@@ -17,10 +17,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** A worker in virtual time that follows the platform's rules on fencing, leases and ends. Not thread-safe. */
+/** Simulates a worker in virtual time: fencing, leases and acknowledged ends as on the platform. Not thread-safe. */
 final class SimWorker {
-    /** A run with the time at which its work is done. */
-    static final class Active {
+    /** A run in progress with its planned end. */
+    static final class ActiveRun {
         final Run run;
         final Resources resources;
         final boolean reservesProcessor;
@@ -28,7 +28,7 @@
         final RunEnd end;
         long stopsAtMs = Long.MAX_VALUE;
 
-        Active(Run run, Resources resources, boolean reservesProcessor, long endsAtMs, RunEnd end) {
+        ActiveRun(Run run, Resources resources, boolean reservesProcessor, long endsAtMs, RunEnd end) {
             this.run = run;
             this.resources = resources;
             this.reservesProcessor = reservesProcessor;
@@ -37,19 +37,19 @@
         }
     }
 
-    private static final long STOP_MS = 300;
+    private static final long STOP_DELAY_MS = 300;
     private static final long CLOCK_OFFSET_MS = 100_000;
     private static final double CLOCK_RATE = 0.985;
 
     private final SimHistory history;
-    final Map<Run, Active> running = new LinkedHashMap<>();
+    final Map<Run, ActiveRun> running = new LinkedHashMap<>();
     private final List<EndedRun> ended = new ArrayList<>();
     private final Map<TaskName, Integer> closedAttempts = new HashMap<>();
     WorkerEntry entry;
-    boolean silent;
+    boolean unreachable;
     long bootWallMs;
-    private long fence;
-    private long leaseEnd;
+    private long highestFencingToken;
+    private long leaseEndWorkerMs;
     private long lastSequence;
 
     SimWorker(WorkerEntry entry, SimHistory history) {
@@ -62,43 +62,43 @@
         return CLOCK_OFFSET_MS + (long) (nowMs * CLOCK_RATE);
     }
 
-    /** Loses everything and starts again under the same id. */
+    /** Restarts the worker under the same id; all its state is lost. */
     void restart(long nowMs) {
-        running.keySet().forEach(run -> history.vanished(run, entry.id()));
+        running.keySet().forEach(run -> history.lost(run, entry.id()));
         running.clear();
         ended.clear();
         closedAttempts.clear();
-        fence = 0;
-        leaseEnd = 0;
+        highestFencingToken = 0;
+        leaseEndWorkerMs = 0;
         lastSequence = 0;
         bootWallMs = nowMs + 1;
     }
 
     Answer start(StartOrder order, long nowMs, Resources resources, boolean fills, long workMs, RunEnd end) {
-        if (order.fencingToken() < fence) {
+        if (order.fencingToken() < highestFencingToken) {
             return Answer.FENCED;
         }
-        fence = order.fencingToken();
+        highestFencingToken = order.fencingToken();
         if (running.containsKey(order.run())) {
             return Answer.ACCEPTED;
         }
         if (order.leaseEndWorkerMs() <= clock(nowMs)) {
             return Answer.TOO_LATE;
         }
-        leaseEnd = Math.max(leaseEnd, order.leaseEndWorkerMs());
+        leaseEndWorkerMs = Math.max(leaseEndWorkerMs, order.leaseEndWorkerMs());
         if (order.run().attempt() <= closedAttempts.getOrDefault(order.run().task(), 0)) {
             return Answer.OUTDATED;
         }
-        Active active = new Active(order.run(), resources, !fills, nowMs + workMs, end);
+        ActiveRun active = new ActiveRun(order.run(), resources, !fills, nowMs + workMs, end);
         running.put(order.run(), active);
         history.started(order.run(), entry.id(), nowMs);
-        checkRoom();
+        checkCapacity();
         return Answer.ACCEPTED;
     }
 
-    private void checkRoom() {
+    private void checkCapacity() {
         Resources sum = Resources.NONE;
-        for (Active active : running.values()) {
+        for (ActiveRun active : running.values()) {
             Resources r = active.resources;
             sum = sum.plus(active.reservesProcessor ? r : new Resources(0, r.memoryMib(), r.accelerators()));
         }
@@ -109,25 +109,25 @@
     }
 
     Answer stop(Run run, long token, long nowMs) {
-        if (token < fence) {
+        if (token < highestFencingToken) {
             return Answer.FENCED;
         }
-        fence = token;
-        Active active = running.get(run);
+        highestFencingToken = token;
+        ActiveRun active = running.get(run);
         if (active == null) {
             closedAttempts.merge(run.task(), run.attempt(), Math::max);
         } else {
-            active.stopsAtMs = Math.min(active.stopsAtMs, nowMs + STOP_MS);
+            active.stopsAtMs = Math.min(active.stopsAtMs, nowMs + STOP_DELAY_MS);
         }
         return Answer.ACCEPTED;
     }
 
     Answer hold(HoldOrder order, long nowMs) {
-        if (order.fencingToken() < fence) {
+        if (order.fencingToken() < highestFencingToken) {
             return Answer.FENCED;
         }
-        fence = order.fencingToken();
-        leaseEnd = Math.max(leaseEnd, order.leaseEndWorkerMs());
+        highestFencingToken = order.fencingToken();
+        leaseEndWorkerMs = Math.max(leaseEndWorkerMs, order.leaseEndWorkerMs());
         ended.removeIf(end -> {
             boolean acknowledged = end.sequence() <= order.acknowledged();
             if (acknowledged) {
@@ -150,13 +150,13 @@
     }
 
     void advance(long nowMs) {
-        boolean lapsed = !running.isEmpty() && clock(nowMs) >= leaseEnd;
-        for (Active active : List.copyOf(running.values())) {
+        boolean leaseExpired = !running.isEmpty() && clock(nowMs) >= leaseEndWorkerMs;
+        for (ActiveRun active : List.copyOf(running.values())) {
             if (nowMs >= active.endsAtMs) {
                 end(active.run, active.end);
             } else if (nowMs >= active.stopsAtMs) {
                 end(active.run, RunEnd.STOPPED);
-            } else if (lapsed) {
+            } else if (leaseExpired) {
                 end(active.run, RunEnd.LEASE_EXPIRED);
             }
         }
--- a/library/src/test/java/io/radishspindle/pool/core/UnknownRunsTest.java
+++ b/library/src/test/java/io/radishspindle/pool/core/UnknownRunsTest.java
@@ -15,14 +15,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Guards against overcommitted workers when a new owner finds runs of jobs whose steps it has not loaded. */
+/** Guards against overcommitted workers when a worker reports runs of ended jobs, whose steps a new owner lacks. */
 class UnknownRunsTest {
     private final PoolScheduler scheduler = new PoolScheduler();
     private long nowMs = 1_000;
 
     @BeforeEach
     void listWorker() {
-        scheduler.loadEnded("gone", JobPhase.CANCELLED, 500);
+        scheduler.loadEnded("ended", JobPhase.CANCELLED, 500);
         scheduler.beginRecovery(nowMs);
         scheduler.onWorkerRegistered(
                 new WorkerEntry(
@@ -42,7 +42,7 @@
 
     private void report(int... indices) {
         List<RunningTask> running = Arrays.stream(indices)
-                .mapToObj(index -> new RunningTask(new Run(new TaskName("gone", 0, 0, index), 1), "", 100, 8_000))
+                .mapToObj(index -> new RunningTask(new Run(new TaskName("ended", 0, 0, index), 1), "", 100, 8_000))
                 .toList();
         scheduler.onHoldReply("w", nowMs, new WorkerReport(1, nowMs, running, List.of()), nowMs, nowMs);
         nowMs += 50;
--- a/library/src/test/java/io/radishspindle/pool/core/package-info.java
+++ b/library/src/test/java/io/radishspindle/pool/core/package-info.java
@@ -1,3 +1,3 @@
-/** Tests of pool scheduling against simulated workers in virtual time. */
+/** Tests of pool scheduling with simulated workers in virtual time. */
 @org.jspecify.annotations.NullMarked
 package io.radishspindle.pool.core;
