--- a/library/src/main/java/io/radishspindle/pool/core/PoolScheduler.java
+++ b/library/src/main/java/io/radishspindle/pool/core/PoolScheduler.java
@@ -26,8 +26,8 @@
  * confined to the event loop of the owner.
  *
  * <p>Invariants: a task has at most one run that occupies or may occupy a worker; the reservations on a worker never
- * exceed its capacity; an end is acknowledged only after the progress that results from it is durable; a job is reported as
- * ended only after that is durable.
+ * exceed its capacity; an end is acknowledged only after the progress that results from it is durable; a job is
+ * reported as ended only after its end is durable.
  */
 public final class PoolScheduler {
     private final Map<String, JobState> jobs = new LinkedHashMap<>();
--- a/library/src/main/java/io/radishspindle/pool/core/RunEvents.java
+++ b/library/src/main/java/io/radishspindle/pool/core/RunEvents.java
@@ -275,7 +275,7 @@
         actions.add(run.stop(nowMs, reason));
     }
 
-    /** Stops runs of incomplete gangs, filling runs beside serving ones, and runs to be evicted from draining workers. */
+    /** Stops runs of incomplete gangs, filling runs beside serving ones, and evictable runs on draining workers. */
     void stopUnwantedRuns(Collection<WorkerState> workers, long nowMs) {
         for (WorkerState worker : workers) {
             for (RunState run : FillGuard.fillRunsToStop(worker)) {
--- a/library/src/test/java/io/radishspindle/pool/core/PoolInvariantsTest.java
+++ b/library/src/test/java/io/radishspindle/pool/core/PoolInvariantsTest.java
@@ -17,7 +17,7 @@
 class PoolInvariantsTest {
     private static final long END_MS = 90_000;
 
-    /** A worker restarted while unreachable, and the sequence number of an old end acknowledged an unreported new end. */
+    /** A worker restarted while unreachable; the sequence number of an old end acknowledged an unreported new end. */
     private static final long RESTART_WHILE_UNREACHABLE_SEED = 153;
 
     /** Seeds of the test; {@code -Dpool.seeds=first-last} selects another range. */
