--- a/library/src/main/java/io/radishspindle/pool/core/PoolScheduler.java
+++ b/library/src/main/java/io/radishspindle/pool/core/PoolScheduler.java
@@ -211,13 +211,13 @@
     }
 
     /**
-     * Handles an answer from another worker at the address of {@code asked}. An address is reassigned only after the
+     * Handles an answer from another worker at the address of {@code polled}. An address is reassigned only after the
      * earlier worker has ended, so its runs have ended too.
      */
-    public void onWorkerReplaced(WorkerEntry asked, long nowMs, long wallMs) {
-        WorkerState worker = workers.get(asked.id());
+    public void onWorkerReplaced(WorkerEntry polled, long nowMs, long wallMs) {
+        WorkerState worker = workers.get(polled.id());
         // An entry from which no answer ever came may contain a wrong address.
-        if (worker == null || worker.entryAtLastAnswer == null || !worker.entryAtLastAnswer.isSameIncarnation(asked)) {
+        if (worker == null || worker.entryAtLastAnswer == null || !worker.entryAtLastAnswer.isSameIncarnation(polled)) {
             return;
         }
         worker.answered = false;
@@ -248,9 +248,9 @@
     /**
      * Applies the result of an advice call; null if the call failed.
      *
-     * @param asked the workers in the call
+     * @param queried the workers in the call
      */
-    public void onAdvice(String stepName, List<String> asked, @Nullable Advice advice, long nowMs) {
+    public void onAdvice(String stepName, List<String> queried, @Nullable Advice advice, long nowMs) {
         TaskName.parse(stepName + ".0").ifPresent(name -> {
             JobState job = unfinished.get(name.jobId());
             if (job == null) {
@@ -261,9 +261,9 @@
             if (advice == null) {
                 return;
             }
-            step.queriedWorkers.addAll(asked);
+            step.queriedWorkers.addAll(queried);
             long untilMs = nowMs + advice.validMs() - PoolTiming.TICKET_MARGIN_MS;
-            for (String id : asked) {
+            for (String id : queried) {
                 WorkerState worker = workers.get(id);
                 String ticket = advice.tickets().get(id);
                 if (worker != null && ticket != null) {
--- a/library/src/main/java/io/radishspindle/pool/core/RunEvents.java
+++ b/library/src/main/java/io/radishspindle/pool/core/RunEvents.java
@@ -246,7 +246,7 @@
         if (run != null) {
             finish(run, ended.end(), nowMs, wallMs);
         } else if (task != null) {
-            // The run was started by an earlier owner, which has not acknowledged its end.
+            // The end of a run that this owner doesn't track: an earlier owner has not acknowledged it.
             jobEvents.apply(task, ended.run().attempt(), ended.end(), worker, nowMs, wallMs);
         }
     }
