--- a/library/src/main/java/io/radishspindle/pool/runtime/AdviceChannel.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/AdviceChannel.java
@@ -17,9 +17,9 @@
  */
 final class AdviceChannel {
     /** Added to the expected duration before a call counts as failed, in milliseconds. */
-    private static final long SLACK_MS = 700;
+    private static final long TIMEOUT_SLACK_MS = 700;
     /** Least time after which a busy channel is asked again, in milliseconds. */
-    private static final long MIN_BUSY_MS = 5;
+    private static final long MIN_RETRY_AFTER_MS = 5;
 
     private final Clock clock;
     private final AdviceService service;
@@ -33,14 +33,14 @@
 
     /** Limit of a call in milliseconds. */
     static long timeoutMs(long expectedMs) {
-        return expectedMs + SLACK_MS;
+        return expectedMs + TIMEOUT_SLACK_MS;
     }
 
     /** Asks the service; {@link ErrorCode#OVERLOADED} with the time to wait while another call is there. */
     Future<Either<Failure, Advice>> advise(String step, List<String> workers, long expectedMs) {
         long nowMs = clock.nowMs();
         if (busy) {
-            long waitMs = Math.max(MIN_BUSY_MS, freeAtMs - nowMs);
+            long waitMs = Math.max(MIN_RETRY_AFTER_MS, freeAtMs - nowMs);
             return Future.succeededFuture(Either.left(Failure.retryable(
                     ErrorCode.OVERLOADED, "advice.call", "", "another call for advice is in progress", waitMs)));
         }
--- a/library/src/main/java/io/radishspindle/pool/runtime/AdviceDispatcher.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/AdviceDispatcher.java
@@ -26,13 +26,13 @@
  */
 final class AdviceDispatcher {
     /** A VM whose call has failed is not asked for this long, in milliseconds; a restart takes one to two seconds. */
-    private static final long PASS_OVER_MS = 1_000;
+    private static final long VM_BACKOFF_MS = 1_000;
     /** Calls that are expected to take longer, in milliseconds, would hold up others noticeably. */
     private static final long LONG_CALL_MS = 100;
     /** A pool without a short call for this long, in milliseconds, keeps no VM free for one. */
-    private static final long SHORT_CALLS_KEPT_MS = 10_000;
+    private static final long SHORT_CALL_RESERVE_MS = 10_000;
     /** VMs tried for one call before the owner plans anew. */
-    private static final int MAX_TRIES = 3;
+    private static final int MAX_ATTEMPTS = 3;
 
     /** Calls of this VM by the VM through which they go. */
     private record Call(String pool, boolean isLong) {}
@@ -44,7 +44,7 @@
     private final Supplier<List<String>> pools;
     private final Clock clock;
     private final Map<String, Call> calls = new HashMap<>();
-    private final Map<String, Long> passedOverUntilMs = new HashMap<>();
+    private final Map<String, Long> backOffUntilMs = new HashMap<>();
     private final Map<String, Long> lastShortCallMs = new HashMap<>();
 
     /** @param pools names of all pools, in an order on which all VMs agree */
@@ -75,8 +75,8 @@
             List<String> names = pools.get();
             int index = Math.max(0, names.indexOf(pool));
             for (int i = 0; i < vms.size(); i++) {
-                boolean mine = names.size() <= 1 || vms.size() < names.size() || i % names.size() == index;
-                (mine ? own : others).add(vms.get(i));
+                boolean isOwn = names.size() <= 1 || vms.size() < names.size() || i % names.size() == index;
+                (isOwn ? own : others).add(vms.get(i));
             }
         }
 
@@ -84,19 +84,19 @@
             long nowMs = clock.nowMs();
             return vms.stream()
                     .filter(vm -> !calls.containsKey(vm))
-                    .filter(vm -> passedOverUntilMs.getOrDefault(vm, Long.MIN_VALUE) <= nowMs)
+                    .filter(vm -> backOffUntilMs.getOrDefault(vm, Long.MIN_VALUE) <= nowMs)
                     .toList();
         }
 
         /** Own VMs that may take a long call now. */
-        int ownLongLeft() {
+        int ownLongCapacity() {
             Long shortCallMs = lastShortCallMs.get(pool);
-            boolean keepsOne =
-                    own.size() > 1 && shortCallMs != null && clock.nowMs() - shortCallMs < SHORT_CALLS_KEPT_MS;
-            return Math.max(0, idle(own).size() - (keepsOne ? 1 : 0));
+            boolean reservesOne =
+                    own.size() > 1 && shortCallMs != null && clock.nowMs() - shortCallMs < SHORT_CALL_RESERVE_MS;
+            return Math.max(0, idle(own).size() - (reservesOne ? 1 : 0));
         }
 
-        int otherLongLeft() {
+        int otherLongCapacity() {
             long used = others.stream()
                     .filter(vm -> calls.containsKey(vm) && calls.get(vm).isLong())
                     .count();
@@ -105,12 +105,12 @@
 
         /** VM for a call; empty if none is free for it. */
         String choose(boolean isLong) {
-            List<String> mine = selfLast(idle(own));
-            if (!mine.isEmpty() && (!isLong || ownLongLeft() > 0)) {
-                return mine.get(0);
+            List<String> idleOwn = selfLast(idle(own));
+            if (!idleOwn.isEmpty() && (!isLong || ownLongCapacity() > 0)) {
+                return idleOwn.get(0);
             }
-            List<String> foreign = idle(others);
-            return !foreign.isEmpty() && (!isLong || otherLongLeft() > 0) ? foreign.get(0) : "";
+            List<String> idleOthers = idle(others);
+            return !idleOthers.isEmpty() && (!isLong || otherLongCapacity() > 0) ? idleOthers.get(0) : "";
         }
     }
 
@@ -119,29 +119,29 @@
         Share share = new Share(pool);
         int idle = share.idle(share.own).size() + share.idle(share.others).size();
         boolean plentiful = 2 * idle > share.own.size() + share.others.size();
-        return new Allowance(idle, share.ownLongLeft() + share.otherLongLeft(), plentiful);
+        return new ChannelBudget(idle, share.ownLongCapacity() + share.otherLongCapacity(), plentiful);
     }
 
     /** Channels that one pass may use. */
-    private static final class Allowance implements AdviceChannels {
+    private static final class ChannelBudget implements AdviceChannels {
         private int idle;
-        private int longLeft;
+        private int longCapacity;
         private final boolean plentiful;
 
-        Allowance(int idle, int longLeft, boolean plentiful) {
+        ChannelBudget(int idle, int longCapacity, boolean plentiful) {
             this.idle = idle;
-            this.longLeft = longLeft;
+            this.longCapacity = longCapacity;
             this.plentiful = plentiful;
         }
 
         @Override
         public boolean tryTake(long expectedMs) {
             boolean isLong = expectedMs > LONG_CALL_MS;
-            if (idle == 0 || (isLong && longLeft == 0)) {
+            if (idle == 0 || (isLong && longCapacity == 0)) {
                 return false;
             }
             idle--;
-            longLeft -= isLong ? 1 : 0;
+            longCapacity -= isLong ? 1 : 0;
             return true;
         }
 
@@ -162,7 +162,7 @@
     }
 
     private Future<Either<Failure, Advice>> advise(
-            String pool, String step, List<String> workers, long expectedMs, int tries) {
+            String pool, String step, List<String> workers, long expectedMs, int attempt) {
         boolean isLong = expectedMs > LONG_CALL_MS;
         String vm = new Share(pool).choose(isLong);
         if (vm.isEmpty()) {
@@ -179,10 +179,10 @@
                 return Future.succeededFuture(result);
             }
             Failure failure = result.getLeft();
-            boolean occupied = failure.code() == ErrorCode.OVERLOADED;
-            passedOverUntilMs.put(vm, clock.nowMs() + (occupied ? failure.retryAfterMs() : PASS_OVER_MS));
-            return occupied && tries < MAX_TRIES
-                    ? advise(pool, step, workers, expectedMs, tries + 1)
+            boolean busy = failure.code() == ErrorCode.OVERLOADED;
+            backOffUntilMs.put(vm, clock.nowMs() + (busy ? failure.retryAfterMs() : VM_BACKOFF_MS));
+            return busy && attempt < MAX_ATTEMPTS
+                    ? advise(pool, step, workers, expectedMs, attempt + 1)
                     : Future.succeededFuture(result);
         });
     }
--- a/library/src/main/java/io/radishspindle/pool/runtime/ConfigRelay.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/ConfigRelay.java
@@ -38,27 +38,27 @@
      * Mbit/s between regions.
      */
     private static final int MIN_REGION_VMS = 6;
-    /** Wait of one question, in milliseconds; short, as a reader that hangs is only noticed at its end. */
-    private static final long WAIT_MS = 700;
+    /** Wait of one query, in milliseconds; short, as a reader that hangs is only noticed at its end. */
+    private static final long QUERY_WAIT_MS = 700;
     /** Time beyond its wait that an answer may take, in milliseconds: a large configuration on a link of 10 Mbit/s. */
-    private static final long ANSWER_MS = 500;
+    private static final long REPLY_SLACK_MS = 500;
     /** A reader that has not answered is not asked for this long, in milliseconds; a restart takes 1 to 2 s. */
-    private static final long PASS_OVER_MS = 2_000;
+    private static final long READER_BACKOFF_MS = 2_000;
     /**
      * The store is asked directly after this long without a word from a reader, in milliseconds; changes are due
      * within 4 s.
      */
-    private static final long DIRECT_AFTER_MS = 1_500;
+    private static final long DIRECT_READ_AFTER_MS = 1_500;
     /** Largest configuration that fits a message, in bytes. */
-    private static final int MAX_BYTES = 900 * 1024;
+    private static final int MAX_CONFIG_BYTES = 900 * 1024;
 
     /** Readers should be strong, since they send a large configuration to all others of the region. */
     private static final Comparator<Map.Entry<String, Member>> STRONGEST_FIRST = Comparator.comparingDouble(
                     (Map.Entry<String, Member> vm) -> -vm.getValue().strength())
             .thenComparing(Map.Entry::getKey);
 
-    /** A question that waits for a newer configuration. */
-    private record Waiting(long afterRevision, Promise<Either<Failure, PeerMessage>> promise) {}
+    /** A query that waits for a newer configuration. */
+    private record PendingQuery(long afterRevision, Promise<Either<Failure, PeerMessage>> promise) {}
 
     private final Vertx vertx;
     private final Clock clock;
@@ -67,10 +67,10 @@
     private final ControlView view;
     private final NodeIdentity self;
     private final BooleanSupplier isFresh;
-    private final Map<String, Long> passedOverUntilMs = new HashMap<>();
-    private final List<Waiting> waiting = new ArrayList<>();
+    private final Map<String, Long> backOffUntilMs = new HashMap<>();
+    private final List<PendingQuery> pendingQueries = new ArrayList<>();
     private @Nullable Item latest;
-    private long lastAnswerMs;
+    private long lastReplyMs;
 
     /** @param isFresh whether the configuration has been read lately */
     ConfigRelay(
@@ -88,7 +88,7 @@
         this.view = view;
         this.self = self;
         this.isFresh = isFresh;
-        lastAnswerMs = clock.nowMs();
+        lastReplyMs = clock.nowMs();
     }
 
     @Override
@@ -102,41 +102,45 @@
     }
 
     private Future<Either<Failure, Listing>> read(
-            long afterRevision, Supplier<Future<Either<Failure, Listing>>> directly) {
+            long afterRevision, Supplier<Future<Either<Failure, Listing>>> directRead) {
         List<String> readers = readers();
         if (readers.isEmpty()) {
-            return directly.get();
+            return directRead.get();
         }
         long nowMs = clock.nowMs();
-        Iterator<String> asked = readers.stream()
-                .filter(vm -> passedOverUntilMs.getOrDefault(vm, Long.MIN_VALUE) <= nowMs)
+        Iterator<String> candidates = readers.stream()
+                .filter(vm -> backOffUntilMs.getOrDefault(vm, Long.MIN_VALUE) <= nowMs)
                 .iterator();
-        return ask(asked, afterRevision, directly);
+        return queryReaders(candidates, afterRevision, directRead);
     }
 
-    private Future<Either<Failure, Listing>> ask(
-            Iterator<String> readers, long afterRevision, Supplier<Future<Either<Failure, Listing>>> directly) {
+    private Future<Either<Failure, Listing>> queryReaders(
+            Iterator<String> readers, long afterRevision, Supplier<Future<Either<Failure, Listing>>> directRead) {
         if (!readers.hasNext()) {
             // All VMs of the region at once would take so long to read a large configuration that none succeeds.
-            return clock.nowMs() - lastAnswerMs < DIRECT_AFTER_MS
+            return clock.nowMs() - lastReplyMs < DIRECT_READ_AFTER_MS
                     ? Future.succeededFuture(Either.left(unavailable("no reader of the region has answered")))
-                    : directly.get();
+                    : directRead.get();
         }
         String reader = readers.next();
         return messenger
-                .request(reader, new QueryConfig(afterRevision, WAIT_MS), ConfigAnswer.class, WAIT_MS + ANSWER_MS)
+                .request(
+                        reader,
+                        new QueryConfig(afterRevision, QUERY_WAIT_MS),
+                        ConfigAnswer.class,
+                        QUERY_WAIT_MS + REPLY_SLACK_MS)
                 .compose(reply -> {
                     if (reply.isRight()) {
-                        lastAnswerMs = clock.nowMs();
+                        lastReplyMs = clock.nowMs();
                         return Future.succeededFuture(Either.right(listing(reply.get(), afterRevision)));
                     }
                     if (reply.getLeft().code() == ErrorCode.STORE_UNAVAILABLE) {
                         // The reader lives and reaches the store through no peer, so that this VM would not either.
-                        lastAnswerMs = clock.nowMs();
+                        lastReplyMs = clock.nowMs();
                     } else {
-                        passedOverUntilMs.put(reader, clock.nowMs() + PASS_OVER_MS);
+                        backOffUntilMs.put(reader, clock.nowMs() + READER_BACKOFF_MS);
                     }
-                    return ask(readers, afterRevision, directly);
+                    return queryReaders(readers, afterRevision, directRead);
                 });
     }
 
@@ -169,17 +173,17 @@
     }
 
     /** The configuration as this VM has read it last. */
-    void seen(Item item) {
+    void onConfigRead(Item item) {
         Item before = latest;
         if (before != null && before.revision() >= item.revision()) {
             return;
         }
         latest = item;
-        List<Waiting> answered = waiting.stream()
-                .filter(question -> question.afterRevision() < item.revision())
+        List<PendingQuery> answered = pendingQueries.stream()
+                .filter(pending -> pending.afterRevision() < item.revision())
                 .toList();
-        waiting.removeAll(answered);
-        answered.forEach(question -> question.promise().complete(answer(item)));
+        pendingQueries.removeAll(answered);
+        answered.forEach(pending -> pending.promise().complete(answer(item)));
     }
 
     /** Answers a VM of the same region, at once or as soon as there is a newer configuration. */
@@ -191,29 +195,29 @@
         if (item.revision() > query.afterRevision()) {
             return Future.succeededFuture(answer(item));
         }
-        Waiting question = new Waiting(query.afterRevision(), Promise.promise());
-        waiting.add(question);
+        PendingQuery pending = new PendingQuery(query.afterRevision(), Promise.promise());
+        pendingQueries.add(pending);
         vertx.setTimer(Math.max(1, query.waitMs()), ignored -> {
-            if (waiting.remove(question)) {
-                question.promise().complete(Either.right(new ConfigAnswer("", new byte[0], 0)));
+            if (pendingQueries.remove(pending)) {
+                pending.promise().complete(Either.right(new ConfigAnswer("", new byte[0], 0)));
             }
         });
-        return question.promise().future();
+        return pending.promise().future();
     }
 
     private Either<Failure, PeerMessage> answer(Item item) {
         byte[] value = item.value();
-        return value == null || value.length > MAX_BYTES
+        return value == null || value.length > MAX_CONFIG_BYTES
                 ? Either.left(Failure.retryable(
                         ErrorCode.NOT_FOUND,
                         "config.read",
                         self.vmId(),
                         "the configuration is absent or does not fit a message",
-                        DIRECT_AFTER_MS))
+                        DIRECT_READ_AFTER_MS))
                 : Either.right(new ConfigAnswer(item.key(), value, item.revision()));
     }
 
     private Failure unavailable(String reason) {
-        return Failure.retryable(ErrorCode.STORE_UNAVAILABLE, "config.read", self.vmId(), reason, DIRECT_AFTER_MS);
+        return Failure.retryable(ErrorCode.STORE_UNAVAILABLE, "config.read", self.vmId(), reason, DIRECT_READ_AFTER_MS);
     }
 }
--- a/library/src/main/java/io/radishspindle/pool/runtime/ControlView.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/ControlView.java
@@ -39,7 +39,7 @@
     }
 
     @Override
-    public void listed(List<Item> items) {
+    public void onListed(List<Item> items) {
         version++;
         Set<String> keys = new HashSet<>();
         items.forEach(item -> keys.add(item.key()));
@@ -47,12 +47,12 @@
         active.keySet().retainAll(live.keySet());
         List.copyOf(owners.keySet()).stream()
                 .filter(pool -> !keys.contains(StoreKeys.owner(pool)))
-                .forEach(this::ownerGone);
-        items.forEach(this::changed);
+                .forEach(this::onOwnerRemoved);
+        items.forEach(this::onChanged);
     }
 
     @Override
-    public void changed(Item item) {
+    public void onChanged(Item item) {
         version++;
         byte[] value = item.value();
         if (StoreKeys.isMember(item.key())) {
@@ -74,7 +74,7 @@
         } else if (StoreKeys.isOwner(item.key())) {
             String pool = StoreKeys.ownedPool(item.key());
             if (value == null) {
-                ownerGone(pool);
+                onOwnerRemoved(pool);
             } else {
                 Records.decode(item.key(), value, Owner.class).onSuccess(owner -> {
                     owners.put(pool, new Ownership(owner, item.revision()));
@@ -87,7 +87,7 @@
         }
     }
 
-    private void ownerGone(String pool) {
+    private void onOwnerRemoved(String pool) {
         owners.remove(pool);
         ownerlessSinceMs.put(pool, clock.nowMs());
     }
--- a/library/src/main/java/io/radishspindle/pool/runtime/JobDirectory.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/JobDirectory.java
@@ -36,7 +36,7 @@
     private static final byte[] CANCELLED = {1};
     private static final byte[] CANCELLED_JOB = Records.encode(new Records.EndedJob(JobPhase.CANCELLED));
     /** Each change of a job's item costs a cancellation one try; an item changes twice at most. */
-    private static final int MAX_CANCEL_TRIES = 3;
+    private static final int MAX_CANCEL_ATTEMPTS = 3;
 
     private final SharedStore store;
     private final PeerMessenger messenger;
@@ -72,8 +72,10 @@
         return messenger
                 .request(owner.get(), new QueryPoolJob(pool, jobId), PoolJobState.class, OWNER_TIMEOUT_MS)
                 .compose(reply -> {
-                    Optional<JobPhase> told = reply.toJavaOptional().flatMap(JobDirectory::phaseOf);
-                    return told.isPresent() ? Future.succeededFuture(Either.right(told)) : phaseFromStore(pool, jobId);
+                    Optional<JobPhase> reported = reply.toJavaOptional().flatMap(JobDirectory::phaseOf);
+                    return reported.isPresent()
+                            ? Future.succeededFuture(Either.right(reported))
+                            : phaseFromStore(pool, jobId);
                 });
     }
 
@@ -157,7 +159,7 @@
         return cancel(pool, jobId, 1);
     }
 
-    private Future<Either<Failure, Boolean>> cancel(String pool, String jobId, int tries) {
+    private Future<Either<Failure, Boolean>> cancel(String pool, String jobId, int attempt) {
         return store.get(StoreKeys.job(pool, jobId)).compose(found -> {
             if (found.isLeft()) {
                 return Future.succeededFuture(Either.left(found.getLeft()));
@@ -174,20 +176,20 @@
                     List.of());
             return store.transact(txn).compose(result -> {
                 if (result.isRight() && result.get().applied()) {
-                    tellOwner(pool, jobId);
-                } else if (result.isRight() && tries < MAX_CANCEL_TRIES) {
+                    notifyOwner(pool, jobId);
+                } else if (result.isRight() && attempt < MAX_CANCEL_ATTEMPTS) {
                     // The job has ended or was cancelled since it was read.
-                    return cancel(pool, jobId, tries + 1);
+                    return cancel(pool, jobId, attempt + 1);
                 }
                 return Future.succeededFuture(result.map(TxnResult::applied));
             });
         });
     }
 
-    private void tellOwner(String pool, String jobId) {
+    private void notifyOwner(String pool, String jobId) {
         PoolOwner local = owned.get(pool);
         if (local != null) {
-            local.cancelStored(jobId);
+            local.onCancelStored(jobId);
         } else {
             remoteOwner(pool).ifPresent(vm -> messenger.send(vm, new CancelStored(pool, jobId)));
         }
--- a/library/src/main/java/io/radishspindle/pool/runtime/JobIntake.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/JobIntake.java
@@ -34,11 +34,11 @@
  */
 final class JobIntake {
     /** Jobs in one transaction; each takes a condition and a write. */
-    private static final int BATCH = SharedStore.MAX_TXN_ENTRIES / 2;
+    private static final int MAX_BATCH_JOBS = SharedStore.MAX_TXN_ENTRIES / 2;
     /** Transactions under way at once, so that one slow call doesn't hold up all submissions. */
     private static final int MAX_IN_FLIGHT = 3;
     /** Pause before a write with an unknown outcome is repeated, in milliseconds. */
-    private static final long REPEAT_MS = 60;
+    private static final long RETRY_DELAY_MS = 60;
 
     /** Submissions that may wait; more are refused at once. */
     private static final int MAX_WAITING = 400;
@@ -51,7 +51,7 @@
         final long deadlineMs;
         final Promise<Either<Failure, PoolJob>> promise = Promise.promise();
         /** An earlier write of it may still take effect. */
-        boolean uncertain;
+        boolean outcomeUnknown;
 
         Pending(PoolJob job, long deadlineMs) {
             this.job = job;
@@ -65,7 +65,7 @@
     private final Clock clock;
     private final SharedStore store;
     private final Consumer<PoolJob> onStored;
-    private final BooleanSupplier storeAway;
+    private final BooleanSupplier storeUnavailable;
     private final LongSupplier retryAfterMs;
     private final Deque<Pending> waiting = new ArrayDeque<>();
     private int inFlight;
@@ -73,7 +73,7 @@
 
     /**
      * @param onStored told of each job that this VM has stored
-     * @param storeAway whether the store is known not to answer, so that it is no use to wait for it
+     * @param storeUnavailable whether the store is known not to answer, so that it is no use to wait for it
      * @param retryAfterMs when a refused caller should come back, in milliseconds
      */
     JobIntake(
@@ -81,20 +81,20 @@
             Clock clock,
             SharedStore store,
             Consumer<PoolJob> onStored,
-            BooleanSupplier storeAway,
+            BooleanSupplier storeUnavailable,
             LongSupplier retryAfterMs) {
         this.vertx = vertx;
         this.clock = clock;
         this.store = store;
         this.onStored = onStored;
-        this.storeAway = storeAway;
+        this.storeUnavailable = storeUnavailable;
         this.retryAfterMs = retryAfterMs;
     }
 
     /** Stores a job. A failure with {@code notRun} false means that the outcome stayed unknown until the deadline. */
     Future<Either<Failure, PoolJob>> submit(PoolJob job, long deadlineMs) {
         if (waiting.size() >= MAX_WAITING) {
-            return Future.succeededFuture(Either.left(refusal("too many submissions wait for the store")));
+            return Future.succeededFuture(Either.left(rejection("too many submissions wait for the store")));
         }
         Pending pending = new Pending(job, deadlineMs);
         waiting.add(pending);
@@ -120,7 +120,7 @@
         while (!waiting.isEmpty() && inFlight < MAX_IN_FLIGHT) {
             List<Pending> batch = new ArrayList<>();
             Set<String> keys = new HashSet<>();
-            while (!waiting.isEmpty() && batch.size() < BATCH && keys.add(waiting.peek().key)) {
+            while (!waiting.isEmpty() && batch.size() < MAX_BATCH_JOBS && keys.add(waiting.peek().key)) {
                 batch.add(waiting.remove());
             }
             write(batch);
@@ -161,7 +161,7 @@
         result.current().stream().filter(Item::exists).forEach(item -> existing.add(item.key()));
         for (Pending pending : batch) {
             if (existing.contains(pending.key)) {
-                if (pending.uncertain) {
+                if (pending.outcomeUnknown) {
                     onStored.accept(pending.job);
                 }
                 pending.promise.complete(Either.right(pending.job));
@@ -172,22 +172,22 @@
     }
 
     private void onFailed(Pending pending, Failure failure) {
-        pending.uncertain |= !failure.notRun();
-        if (!pending.uncertain) {
-            pending.promise.complete(Either.left(refusal(failure.message())));
-        } else if (clock.nowMs() >= pending.deadlineMs || storeAway.getAsBoolean()) {
+        pending.outcomeUnknown |= !failure.notRun();
+        if (!pending.outcomeUnknown) {
+            pending.promise.complete(Either.left(rejection(failure.message())));
+        } else if (clock.nowMs() >= pending.deadlineMs || storeUnavailable.getAsBoolean()) {
             // The caller repeats the request at another VM, which settles the outcome.
             pending.promise.complete(
                     Either.left(Failure.unknown("job.store", failure.peer(), "outcome unknown: " + failure.message())));
         } else {
-            vertx.setTimer(REPEAT_MS, ignored -> {
+            vertx.setTimer(RETRY_DELAY_MS, ignored -> {
                 waiting.add(pending);
                 schedule();
             });
         }
     }
 
-    private Failure refusal(String reason) {
+    private Failure rejection(String reason) {
         return Failure.retryable(ErrorCode.STORE_UNAVAILABLE, "job.store", "store", reason, retryAfterMs.getAsLong());
     }
 }
--- a/library/src/main/java/io/radishspindle/pool/runtime/NodeLease.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/NodeLease.java
@@ -22,7 +22,7 @@
     /** Life of the lease without renewal, in milliseconds; four renewals may fail. */
     private static final long TTL_MS = 2_000;
 
-    private static final long RENEW_MS = 450;
+    private static final long RENEW_INTERVAL_MS = 450;
 
     private final Vertx vertx;
     private final SharedStore store;
@@ -58,7 +58,7 @@
         }
         store.createLease(TTL_MS).onSuccess(result -> {
             if (result.isLeft()) {
-                later(this::create);
+                schedule(this::create);
                 return;
             }
             lease = result.get();
@@ -89,11 +89,11 @@
     private void onRegistered(Either<Failure, TxnResult> result) {
         if (result.isRight()) {
             Logger.info("event=member-registered vm={} lease={}", self.vmId(), lease);
-            later(this::renew);
+            schedule(this::renew);
         } else if (result.getLeft().code() == ErrorCode.NOT_FOUND) {
-            lost();
+            onLost();
         } else {
-            later(this::register);
+            schedule(this::register);
         }
     }
 
@@ -103,20 +103,20 @@
         }
         store.renewLease(lease).onSuccess(result -> {
             if (result.isLeft() && result.getLeft().code() == ErrorCode.NOT_FOUND) {
-                lost();
+                onLost();
             } else {
-                later(this::renew);
+                schedule(this::renew);
             }
         });
     }
 
-    private void lost() {
+    private void onLost() {
         Logger.warn("event=lease-lost vm={} lease={}", self.vmId(), lease);
         lease = 0;
         create();
     }
 
-    private void later(Runnable action) {
-        vertx.setTimer(RENEW_MS, ignored -> action.run());
+    private void schedule(Runnable action) {
+        vertx.setTimer(RENEW_INTERVAL_MS, ignored -> action.run());
     }
 }
--- a/library/src/main/java/io/radishspindle/pool/runtime/OwnerElection.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/OwnerElection.java
@@ -31,22 +31,22 @@
     /** Head start of a better candidate, in milliseconds: several times a write to the store. */
     private static final long RANK_DELAY_MS = 250;
     /** Wait before the first candidate claims, in milliseconds, so that VMs that start together see each other. */
-    private static final long FIRST_CLAIM_MS = 50;
+    private static final long FIRST_CLAIM_DELAY_MS = 50;
     /** Time between pings of an owner by its first stand-by, in milliseconds. */
-    private static final long PING_MS = 250;
+    private static final long PING_INTERVAL_MS = 250;
 
     private static final long PING_TIMEOUT_MS = 500;
     /** An owner that denies for this long that it owns the pool is replaced; a claim is known to its VM sooner. */
-    private static final long DENIED_MS = 200;
+    private static final long DENIED_OWNER_TIMEOUT_MS = 200;
     /** An owner that answers no ping for this long is replaced; shorter pauses occur on a busy VM. */
-    private static final long SILENT_OWNER_MS = 900;
+    private static final long UNRESPONSIVE_OWNER_TIMEOUT_MS = 900;
 
     /** Candidates as they were at a state of the view and of the own claims. */
     private record Candidates(String excluded, long viewVersion, Set<String> ownPools, List<String> order) {}
 
     /** Called when a claim has succeeded. */
     interface Listener {
-        void claimed(String pool, long fencingToken);
+        void onClaimed(String pool, long fencingToken);
     }
 
     private final Clock clock;
@@ -56,10 +56,10 @@
     private final NodeLease lease;
     private final PeerMessenger messenger;
     private final Listener listener;
-    private final Map<String, Long> held = new HashMap<>();
+    private final Map<String, Long> fencingTokens = new HashMap<>();
     private final Set<String> claiming = new HashSet<>();
     private final Map<String, Long> lastPingMs = new HashMap<>();
-    private final Map<String, Long> silentSinceMs = new HashMap<>();
+    private final Map<String, Long> unconfirmedSinceMs = new HashMap<>();
     private final Map<String, Candidates> lastCandidates = new HashMap<>();
     private boolean closed;
 
@@ -86,13 +86,13 @@
     }
 
     /** The pool was given up or taken away. */
-    void released(String pool) {
-        held.remove(pool);
+    void onReleased(String pool) {
+        fencingTokens.remove(pool);
     }
 
     /** Whether this VM owns the pool or may own it: others see a claim before its answer comes from a slow store. */
-    boolean holds(String pool) {
-        return held.containsKey(pool) || claiming.contains(pool);
+    boolean ownsOrClaims(String pool) {
+        return fencingTokens.containsKey(pool) || claiming.contains(pool);
     }
 
     /** Looks at each pool; called several times a second. */
@@ -102,17 +102,17 @@
         }
         long nowMs = clock.nowMs();
         for (String pool : pools) {
-            if (!held.containsKey(pool) && !claiming.contains(pool)) {
-                consider(pool, nowMs);
+            if (!fencingTokens.containsKey(pool) && !claiming.contains(pool)) {
+                checkOwner(pool, nowMs);
             }
         }
     }
 
-    private void consider(String pool, long nowMs) {
+    private void checkOwner(String pool, long nowMs) {
         Optional<Ownership> owner = view.owner(pool);
         if (owner.isEmpty()) {
             int rank = candidates(pool, "").indexOf(self.vmId());
-            if (rank >= 0 && view.ownerlessMs(pool, nowMs) >= FIRST_CLAIM_MS + rank * RANK_DELAY_MS) {
+            if (rank >= 0 && view.ownerlessMs(pool, nowMs) >= FIRST_CLAIM_DELAY_MS + rank * RANK_DELAY_MS) {
                 claim(pool, 0, "no owner");
             }
             return;
@@ -129,7 +129,7 @@
     }
 
     private void ping(String pool, Ownership ownership, long nowMs) {
-        if (nowMs - lastPingMs.getOrDefault(pool, 0L) < PING_MS) {
+        if (nowMs - lastPingMs.getOrDefault(pool, 0L) < PING_INTERVAL_MS) {
             return;
         }
         lastPingMs.put(pool, nowMs);
@@ -140,14 +140,14 @@
 
     private void onPong(String pool, Ownership ownership, Either<Failure, PoolPong> reply, long sentMs) {
         if (reply.isRight() && reply.get().owner()) {
-            silentSinceMs.remove(pool);
+            unconfirmedSinceMs.remove(pool);
             return;
         }
-        long sinceMs = silentSinceMs.computeIfAbsent(pool, ignored -> sentMs);
-        if (clock.nowMs() - sinceMs < (reply.isRight() ? DENIED_MS : SILENT_OWNER_MS)) {
+        long sinceMs = unconfirmedSinceMs.computeIfAbsent(pool, ignored -> sentMs);
+        if (clock.nowMs() - sinceMs < (reply.isRight() ? DENIED_OWNER_TIMEOUT_MS : UNRESPONSIVE_OWNER_TIMEOUT_MS)) {
             return;
         }
-        silentSinceMs.remove(pool);
+        unconfirmedSinceMs.remove(pool);
         boolean unchanged = view.owner(pool).map(ownership::equals).orElse(false);
         if (unchanged && !claiming.contains(pool) && !closed) {
             claim(pool, ownership.revision(), "owner " + ownership.owner().vmId() + " does not answer");
@@ -156,7 +156,7 @@
 
     /** Kept until something changes: sorting hundreds of VMs for each pool at each tick would load every VM. */
     private List<String> candidates(String pool, String excluded) {
-        Set<String> ownPools = new HashSet<>(held.keySet());
+        Set<String> ownPools = new HashSet<>(fencingTokens.keySet());
         ownPools.addAll(claiming);
         Candidates last = lastCandidates.get(pool);
         if (last == null
@@ -213,10 +213,10 @@
         Records.Owner owner = new Records.Owner(self.vmId(), self.boot());
         Txn txn = new Txn(
                 Map.of(key, expectedRevision), List.of(new Write(key, Records.encode(owner), lease.id())), List.of());
-        store.transact(txn).onSuccess(result -> onClaimed(pool, reason, result));
+        store.transact(txn).onSuccess(result -> onClaimResult(pool, reason, result));
     }
 
-    private void onClaimed(String pool, String reason, Either<Failure, TxnResult> result) {
+    private void onClaimResult(String pool, String reason, Either<Failure, TxnResult> result) {
         claiming.remove(pool);
         if (result.isLeft()) {
             // The watch shows the claim if it was written after all; the next tick then claims again over it.
@@ -229,14 +229,14 @@
         }
         TxnResult txn = result.get();
         if (!txn.applied()) {
-            txn.current().forEach(view::changed);
+            txn.current().forEach(view::onChanged);
             Logger.info("event=claim-lost pool={} reason=\"{}\"", pool, reason);
             return;
         }
         Logger.info("event=pool-claimed pool={} token={} reason=\"{}\"", pool, txn.revision(), reason);
-        held.put(pool, txn.revision());
-        view.changed(new SharedStore.Item(
+        fencingTokens.put(pool, txn.revision());
+        view.onChanged(new SharedStore.Item(
                 StoreKeys.owner(pool), Records.encode(new Records.Owner(self.vmId(), self.boot())), txn.revision()));
-        listener.claimed(pool, txn.revision());
+        listener.onClaimed(pool, txn.revision());
     }
 }
--- a/library/src/main/java/io/radishspindle/pool/runtime/PauseDetector.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/PauseDetector.java
@@ -21,7 +21,7 @@
     }
 
     /** Milliseconds for which the process did not run since the last look, 0 if it ran; look several times a second. */
-    long look() {
+    long check() {
         long nowMs = clock.nowMs();
         long wallMs = clock.wallMs();
         long gapMs = Math.max(nowMs - lastMs, wallMs - lastWallMs);
--- a/library/src/main/java/io/radishspindle/pool/runtime/PoolNode.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/PoolNode.java
@@ -50,9 +50,9 @@
 public final class PoolNode {
     private static final long ELECTION_TICK_MS = 50;
     /** Pause between watches of the workers, in milliseconds, so that several changes arrive with one call. */
-    private static final long WORKER_PAUSE_MS = 100;
+    private static final long WORKER_WATCH_PAUSE_MS = 100;
     /** After this long without an answer of the store the VM reports itself not ready, in milliseconds. */
-    private static final long STORE_SILENT_MS = 1_800;
+    private static final long CONFIG_MAX_AGE_MS = 1_800;
 
     private final Vertx vertx;
     private final Clock clock;
@@ -104,15 +104,15 @@
         store = new RelayedStore(clock, platformStore, messenger, this::otherVms);
         sizing = new SliceSizing(clock, store, codec, view, self);
         lease = new NodeLease(vertx, store, self);
-        election = new OwnerElection(clock, store, view, self, lease, messenger, this::claimed);
+        election = new OwnerElection(clock, store, view, self, lease, messenger, this::onClaimed);
         channel = new AdviceChannel(clock, adviceService);
         advice = new AdviceDispatcher(clock, channel, messenger, self, view, this::sliceNames);
-        intake = new JobIntake(vertx, clock, store, this::tellOwner, store::isDirectPathDown, store::retryAfterMs);
+        intake = new JobIntake(vertx, clock, store, this::notifyOwner, store::isDirectPathDown, store::retryAfterMs);
         directory = new JobDirectory(store, messenger, view, self, owned);
         configRelay = new ConfigRelay(vertx, clock, store, messenger, view, self, this::hasFreshConfig);
         configWatch = new PrefixWatch(
-                vertx, clock, configRelay, codec.configKey(), 0, new ConfigListener(), this::storeAnswered);
-        controlWatch = new PrefixWatch(vertx, clock, store, StoreKeys.CONTROL, 20, view, this::storeAnswered);
+                vertx, clock, configRelay, codec.configKey(), 0, new ConfigListener(), this::onStoreResult);
+        controlWatch = new PrefixWatch(vertx, clock, store, StoreKeys.CONTROL, 20, view, this::onStoreResult);
     }
 
     /** Starts to listen and to follow the store. */
@@ -146,7 +146,7 @@
         return current == null ? List.of() : slices.of(current.pools());
     }
 
-    private void storeAnswered(boolean answered) {
+    private void onStoreResult(boolean answered) {
         metrics.counter(answered ? "store.answers" : "store.failures").inc();
     }
 
@@ -161,7 +161,7 @@
     }
 
     private boolean hasFreshConfig() {
-        return config != null && clock.nowMs() - configWatch.lastSuccessMs() < STORE_SILENT_MS;
+        return config != null && clock.nowMs() - configWatch.lastSuccessMs() < CONFIG_MAX_AGE_MS;
     }
 
     /** The configuration in force; empty before the first one has been read. */
@@ -177,7 +177,7 @@
         List<Future<?>> releases = new ArrayList<>();
         owned.forEach((pool, owner) -> {
             // A stand-by that asks learns at once that the pool is free, also while the store can't be written.
-            election.released(pool);
+            election.onReleased(pool);
             releases.add(owner.release(entry));
         });
         if (owned.isEmpty() && entry.isPresent()) {
@@ -198,28 +198,28 @@
     public Future<Either<Failure, PoolJob>> submit(PoolJob job, long deadlineMs) {
         return slices.assign(job)
                 .map(assigned -> intake.submit(assigned, deadlineMs))
-                .orElseGet(this::refuseUnsized);
+                .orElseGet(this::rejectUnsized);
     }
 
     /** Phase of a job; empty if no such job exists. */
     public Future<Either<Failure, Optional<JobPhase>>> phase(String pool, String jobId) {
         return slices.ofJob(pool, jobId)
                 .map(slice -> directory.phase(slice, jobId))
-                .orElseGet(this::refuseUnsized);
+                .orElseGet(this::rejectUnsized);
     }
 
     /** Cancels a job; false if no such job exists. */
     public Future<Either<Failure, Boolean>> cancel(String pool, String jobId) {
         return slices.ofJob(pool, jobId)
                 .map(slice -> directory.cancel(slice, jobId))
-                .orElseGet(this::refuseUnsized);
+                .orElseGet(this::rejectUnsized);
     }
 
     /** Number of jobs of a queue without a started task. */
     public Future<Either<Failure, Integer>> pending(String pool, String queue) {
         List<String> names = slices.of(pool);
         if (names.isEmpty()) {
-            return refuseUnsized();
+            return rejectUnsized();
         }
         List<Future<Either<Failure, Integer>>> counts =
                 names.stream().map(slice -> directory.pending(slice, queue)).toList();
@@ -227,15 +227,15 @@
                 .map(found -> found.sum().intValue()));
     }
 
-    private <T> Future<Either<Failure, T>> refuseUnsized() {
-        sizing.hurry();
+    private <T> Future<Either<Failure, T>> rejectUnsized() {
+        sizing.expedite();
         return Future.succeededFuture(Either.left(notReady()));
     }
 
-    private void tellOwner(PoolJob job) {
+    private void notifyOwner(PoolJob job) {
         PoolOwner local = owned.get(job.pool());
         if (local != null) {
-            local.jobStored(job);
+            local.onJobStored(job);
             return;
         }
         view.owner(job.pool())
@@ -244,11 +244,12 @@
                 .ifPresent(vm -> messenger.send(vm, new JobStored(job)));
     }
 
-    private void claimed(String pool, long token) {
-        PoolOwner owner = new PoolOwner(vertx, clock, store, control, advice, metrics, pool, token, this::deposed);
+    private void onClaimed(String pool, long fencingToken) {
+        PoolOwner owner =
+                new PoolOwner(vertx, clock, store, control, advice, metrics, pool, fencingToken, this::onSuperseded);
         if (draining) {
             // The claim was under way when the drain began.
-            election.released(pool);
+            election.onReleased(pool);
             owner.release(Optional.empty());
             return;
         }
@@ -275,30 +276,30 @@
                     clock,
                     store,
                     codec.workerPrefix(),
-                    WORKER_PAUSE_MS,
+                    WORKER_WATCH_PAUSE_MS,
                     new WorkerListener(),
-                    this::storeAnswered);
+                    this::onStoreResult);
             workerWatch.start();
         }
     }
 
-    private void deposed(String pool, String reason) {
+    private void onSuperseded(String pool, String reason) {
         Logger.warn("event=pool-lost pool={} vm={} reason=\"{}\"", pool, self.vmId(), reason);
         owned.remove(pool);
-        election.released(pool);
+        election.onReleased(pool);
         watchWorkers();
     }
 
     private void registerHandlers() {
         messenger.handle(JobStored.class, (vm, message) -> {
-            ownerOf(message.job().pool()).ifPresent(owner -> owner.jobStored(message.job()));
+            ownerOf(message.job().pool()).ifPresent(owner -> owner.onJobStored(message.job()));
             return done();
         });
         messenger.handle(CancelStored.class, (vm, message) -> {
-            ownerOf(message.pool()).ifPresent(owner -> owner.cancelStored(message.jobId()));
+            ownerOf(message.pool()).ifPresent(owner -> owner.onCancelStored(message.jobId()));
             return done();
         });
-        messenger.handle(PoolPing.class, (vm, message) -> answer(new PoolPong(election.holds(message.pool()))));
+        messenger.handle(PoolPing.class, (vm, message) -> answer(new PoolPong(election.ownsOrClaims(message.pool()))));
         messenger.handle(
                 QueryPoolJob.class,
                 (vm, message) -> answer(new PoolJobState(ownerOf(message.pool())
@@ -341,17 +342,17 @@
     /** The operators' configuration. */
     private final class ConfigListener implements PrefixWatch.Listener {
         @Override
-        public void listed(List<Item> items) {
-            items.forEach(this::changed);
+        public void onListed(List<Item> items) {
+            items.forEach(this::onChanged);
         }
 
         @Override
-        public void changed(Item item) {
+        public void onChanged(Item item) {
             byte[] value = item.value();
             if (value == null || !item.key().equals(codec.configKey())) {
                 return;
             }
-            configRelay.seen(item);
+            configRelay.onConfigRead(item);
             codec.config(value).ifPresent(next -> {
                 if (config == null || next.version() > config.version()) {
                     Logger.info(
@@ -369,34 +370,34 @@
     /** The workers' own entries. */
     private final class WorkerListener implements PrefixWatch.Listener {
         @Override
-        public void listed(List<Item> items) {
+        public void onListed(List<Item> items) {
             Set<String> present = items.stream().map(item -> id(item.key())).collect(Collectors.toSet());
             List.copyOf(workers.keySet()).stream()
                     .filter(id -> !present.contains(id))
-                    .forEach(this::gone);
-            items.forEach(this::changed);
+                    .forEach(this::onRemoved);
+            items.forEach(this::onChanged);
         }
 
         @Override
-        public void changed(Item item) {
+        public void onChanged(Item item) {
             byte[] value = item.value();
             if (value == null) {
-                gone(id(item.key()));
+                onRemoved(id(item.key()));
                 return;
             }
             codec.worker(item.key(), value).ifPresent(entry -> {
                 WorkerEntry before = workers.put(entry.id(), entry);
                 if (before != null && !slices.ofWorker(before).equals(slices.ofWorker(entry))) {
-                    ownerOf(before).ifPresent(owner -> owner.workerUnlisted(entry.id()));
+                    ownerOf(before).ifPresent(owner -> owner.onWorkerUnlisted(entry.id()));
                 }
-                ownerOf(entry).ifPresent(owner -> owner.workerListed(entry));
+                ownerOf(entry).ifPresent(owner -> owner.onWorkerListed(entry));
             });
         }
 
-        private void gone(String id) {
+        private void onRemoved(String id) {
             WorkerEntry entry = workers.remove(id);
             if (entry != null) {
-                ownerOf(entry).ifPresent(owner -> owner.workerUnlisted(id));
+                ownerOf(entry).ifPresent(owner -> owner.onWorkerUnlisted(id));
             }
         }
 
--- a/library/src/main/java/io/radishspindle/pool/runtime/PoolOwner.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/PoolOwner.java
@@ -41,30 +41,30 @@
     /** Pause before a failed load is repeated, in milliseconds. */
     private static final long LOAD_RETRY_MS = 150;
     /** The owner hears of most jobs directly; its watch is the second way and may lag. */
-    private static final long INTAKE_PAUSE_MS = 200;
+    private static final long INTAKE_WATCH_PAUSE_MS = 200;
     /** Ended jobs stay known for this long, in milliseconds: the platform asks for 120 s, and clients repeat late. */
     private static final long RETENTION_MS = 180_000;
 
-    private static final int MILLI = 1_000;
-    private static final int FORGET_BATCH = SharedStore.MAX_TXN_ENTRIES / 3 - 1;
-    private static final int FORGET_EVERY_TICKS = 40;
+    private static final int MILLI_CORES_PER_CORE = 1_000;
+    private static final int REMOVAL_BATCH_JOBS = SharedStore.MAX_TXN_ENTRIES / 3 - 1;
+    private static final int REMOVAL_INTERVAL_TICKS = 40;
     /** The load is logged every two seconds, which keeps the log of an idle owner small. */
-    private static final int LOAD_EVERY_TICKS = 40;
+    private static final int LOAD_LOG_INTERVAL_TICKS = 40;
 
     private final Vertx vertx;
     private final Clock clock;
     private final SharedStore store;
     private final String pool;
-    private final long token;
+    private final long fencingToken;
     private final AdviceDispatcher advice;
-    private final BiConsumer<String, String> onDeposed;
+    private final BiConsumer<String, String> onSuperseded;
     private final PoolScheduler scheduler = new PoolScheduler();
     private final WorkerSessions sessions;
     private final ProgressWriter writer;
     private final PrefixWatch intake;
     private final MetricRegistry metrics;
     private final BoundedLog log;
-    private final PauseDetector pauses;
+    private final PauseDetector pauseDetector;
     private final long claimedAtMs;
     private boolean loaded;
     private boolean closed;
@@ -73,7 +73,7 @@
     private long tickTimer = -1;
     private int ticks;
 
-    /** @param onDeposed told the pool and the reason when a newer claim shows */
+    /** @param onSuperseded told the pool and the reason when a newer claim shows */
     PoolOwner(
             Vertx vertx,
             Clock clock,
@@ -82,28 +82,34 @@
             AdviceDispatcher advice,
             MetricRegistry metrics,
             String pool,
-            long token,
-            BiConsumer<String, String> onDeposed) {
+            long fencingToken,
+            BiConsumer<String, String> onSuperseded) {
         this.vertx = vertx;
         this.clock = clock;
         this.store = store;
         this.pool = pool;
-        this.token = token;
+        this.fencingToken = fencingToken;
         this.advice = advice;
         this.metrics = metrics;
         log = new BoundedLog(clock);
-        this.onDeposed = onDeposed;
+        this.onSuperseded = onSuperseded;
         claimedAtMs = clock.nowMs();
-        pauses = new PauseDetector(clock);
-        sessions = new WorkerSessions(vertx, clock, control, scheduler, token, log, new Sessions());
-        writer = new ProgressWriter(vertx, clock, store, pool, token, scheduler, new Progress());
+        pauseDetector = new PauseDetector(clock);
+        sessions = new WorkerSessions(vertx, clock, control, scheduler, fencingToken, log, new SessionListener());
+        writer = new ProgressWriter(vertx, clock, store, pool, fencingToken, scheduler, new ProgressListener());
         intake = new PrefixWatch(
-                vertx, clock, store, StoreKeys.intake(pool), INTAKE_PAUSE_MS, new Intake(), reachable -> {});
+                vertx,
+                clock,
+                store,
+                StoreKeys.intake(pool),
+                INTAKE_WATCH_PAUSE_MS,
+                new IntakeListener(),
+                answered -> {});
     }
 
     /** Begins with the given workers; jobs follow from the store. */
     void start(Collection<WorkerEntry> workers) {
-        workers.forEach(this::workerListed);
+        workers.forEach(this::onWorkerListed);
         sessions.pollNew();
         load();
     }
@@ -125,12 +131,12 @@
     Future<Void> release(Optional<Write> entry) {
         close();
         String key = StoreKeys.owner(pool);
-        Txn removal = new Txn(Map.of(key, token), entry.stream().toList(), List.of(key));
+        Txn removal = new Txn(Map.of(key, fencingToken), entry.stream().toList(), List.of(key));
         return store.transact(removal)
                 .onSuccess(result -> Logger.info(
                         "event=pool-released pool={} token={} outcome=\"{}\"",
                         pool,
-                        token,
+                        fencingToken,
                         result.fold(Failure::message, txn -> txn.applied() ? "removed" : "replaced before")))
                 .mapEmpty();
     }
@@ -152,36 +158,40 @@
     }
 
     private void onLoaded(Listing jobs, List<Item> progress) {
-        writer.loaded(progress);
+        writer.onLoaded(progress);
         int count = new StoredJobs(pool, jobs.items(), progress).loadInto(scheduler, clock.wallMs());
         loaded = true;
         scheduler.beginRecovery(clock.nowMs());
         Logger.info(
                 "event=pool-loaded pool={} token={} jobs={} open={} took_ms={}",
                 pool,
-                token,
+                fencingToken,
                 count,
                 scheduler.openJobs(),
                 clock.nowMs() - claimedAtMs);
-        pauses.look();
+        pauseDetector.check();
         intake.startAfter(jobs.revision());
-        sessions.open();
+        sessions.startDelivery();
         sessions.pollNew();
         tickTimer = vertx.setPeriodic(TICK_MS, ignored -> tick());
     }
 
     private void tick() {
-        pass();
+        runPass();
         ticks++;
-        if (ticks % FORGET_EVERY_TICKS == 0) {
-            forgetEnded();
+        if (ticks % REMOVAL_INTERVAL_TICKS == 0) {
+            removeEndedJobs();
         }
-        if (ticks % LOAD_EVERY_TICKS == 0 && scheduler.openJobs() > 0) {
+        if (ticks % LOAD_LOG_INTERVAL_TICKS == 0 && scheduler.openJobs() > 0) {
             logLoad();
         }
         if (!recoveryLogged && !scheduler.isRecovering(clock.nowMs())) {
             recoveryLogged = true;
-            Logger.info("event=pool-recovered pool={} token={} took_ms={}", pool, token, clock.nowMs() - claimedAtMs);
+            Logger.info(
+                    "event=pool-recovered pool={} token={} took_ms={}",
+                    pool,
+                    fencingToken,
+                    clock.nowMs() - claimedAtMs);
         }
     }
 
@@ -191,12 +201,12 @@
                 "event=pool-load pool={} token={} open={} workers={} usable={} cores={}/{} accelerators={}/{}"
                         + " waiting={} running={} without_tickets={} idle_channels={}",
                 pool,
-                token,
+                fencingToken,
                 scheduler.openJobs(),
                 load.workers(),
                 load.usable(),
-                load.usedMilliCores() / MILLI,
-                load.milliCores() / MILLI,
+                load.usedMilliCores() / MILLI_CORES_PER_CORE,
+                load.milliCores() / MILLI_CORES_PER_CORE,
                 load.usedAccelerators(),
                 load.accelerators(),
                 load.waitingByPriority(),
@@ -206,32 +216,32 @@
     }
 
     /** Decides soon, after everything that has arrived together. */
-    private void passSoon() {
+    private void schedulePass() {
         if (!passScheduled && !closed) {
             passScheduled = true;
             vertx.runOnContext(ignored -> {
                 passScheduled = false;
-                pass();
+                runPass();
             });
         }
     }
 
-    private void pass() {
+    private void runPass() {
         if (closed || !loaded) {
             return;
         }
-        distrustAfterPause();
+        checkForPause();
         for (PoolAction action : scheduler.schedule(clock.nowMs(), clock.wallMs(), advice.channels(pool))) {
             perform(action);
         }
-        writer.poke();
+        writer.scheduleWrite();
     }
 
     /** Another VM may own the pool since a pause; only answers to later holds show that this one still does. */
-    private void distrustAfterPause() {
-        long pauseMs = pauses.look();
+    private void checkForPause() {
+        long pauseMs = pauseDetector.check();
         if (pauseMs > 0) {
-            Logger.warn("event=owner-paused pool={} token={} pause_ms={}", pool, token, pauseMs);
+            Logger.warn("event=owner-paused pool={} token={} pause_ms={}", pool, fencingToken, pauseMs);
             scheduler.distrustAnswers(clock.nowMs());
         }
     }
@@ -245,8 +255,8 @@
             sessions.stop(stop.worker(), stop.run(), stop.reason());
         } else if (action instanceof PoolAction.Pace pace) {
             sessions.pace(pace.worker(), pace.run(), pace.percent());
-        } else if (action instanceof PoolAction.Advise ask) {
-            ask(ask);
+        } else if (action instanceof PoolAction.Advise request) {
+            requestAdvice(request);
         } else if (action instanceof PoolAction.JobEnded ended) {
             metrics.counter("pool.jobs." + ended.phase().toLowerCase(Locale.ROOT))
                     .inc();
@@ -256,7 +266,7 @@
                         ended.jobId(),
                         ended.queue(),
                         ended.phase(),
-                        token,
+                        fencingToken,
                         ended.ageMs(),
                         ended.timeline(),
                         ended.reason());
@@ -271,24 +281,25 @@
         }
     }
 
-    private void ask(PoolAction.Advise ask) {
+    private void requestAdvice(PoolAction.Advise request) {
         metrics.counter("pool.advice.calls").inc();
-        advice.advise(pool, ask.step(), ask.workers(), ask.expectedMs()).onSuccess(result -> {
-            // An occupied VM is no fault; pool-load shows how many steps wait for tickets.
-            boolean failed = result.isLeft() && result.getLeft().code() != ErrorCode.OVERLOADED;
-            if (failed && log.allows("advice-failed")) {
-                Logger.info(
-                        "event=advice-failed step={} error=\"{}\"",
-                        ask.step(),
-                        result.getLeft().message());
-            }
-            scheduler.advised(ask.step(), ask.workers(), result.getOrNull(), clock.nowMs());
-            passSoon();
-        });
+        advice.advise(pool, request.step(), request.workers(), request.expectedMs())
+                .onSuccess(result -> {
+                    // An occupied VM is no fault; pool-load shows how many steps wait for tickets.
+                    boolean failed = result.isLeft() && result.getLeft().code() != ErrorCode.OVERLOADED;
+                    if (failed && log.allows("advice-failed")) {
+                        Logger.info(
+                                "event=advice-failed step={} error=\"{}\"",
+                                request.step(),
+                                result.getLeft().message());
+                    }
+                    scheduler.advised(request.step(), request.workers(), result.getOrNull(), clock.nowMs());
+                    schedulePass();
+                });
     }
 
-    private void forgetEnded() {
-        List<String> ids = scheduler.forgetEnded(clock.wallMs() - RETENTION_MS, FORGET_BATCH);
+    private void removeEndedJobs() {
+        List<String> ids = scheduler.forgetEnded(clock.wallMs() - RETENTION_MS, REMOVAL_BATCH_JOBS);
         if (ids.isEmpty()) {
             return;
         }
@@ -298,7 +309,7 @@
             keys.add(StoreKeys.cancellation(pool, id));
             keys.add(StoreKeys.progress(pool, id));
         });
-        store.transact(new Txn(Map.of(StoreKeys.owner(pool), token), List.of(), keys))
+        store.transact(new Txn(Map.of(StoreKeys.owner(pool), fencingToken), List.of(), keys))
                 .onSuccess(result -> {
                     if (result.isLeft()) {
                         // The next owner loads these jobs again and removes them then.
@@ -311,27 +322,27 @@
                 });
     }
 
-    void jobStored(PoolJob job) {
+    void onJobStored(PoolJob job) {
         if (loaded && scheduler.submit(job)) {
-            passSoon();
+            schedulePass();
         }
     }
 
-    void cancelStored(String jobId) {
+    void onCancelStored(String jobId) {
         if (loaded && scheduler.cancel(jobId, clock.wallMs())) {
-            passSoon();
+            schedulePass();
         }
     }
 
-    void workerListed(WorkerEntry entry) {
+    void onWorkerListed(WorkerEntry entry) {
         scheduler.workerListed(entry, clock.nowMs());
         sessions.pollNew();
         if (loaded) {
-            passSoon();
+            schedulePass();
         }
     }
 
-    void workerUnlisted(String workerId) {
+    void onWorkerUnlisted(String workerId) {
         scheduler.workerUnlisted(workerId);
     }
 
@@ -345,65 +356,65 @@
         return loaded ? Optional.of(scheduler.pending(queue)) : Optional.empty();
     }
 
-    int openJobs() {
+    int unfinishedJobs() {
         return scheduler.openJobs();
     }
 
-    private void deposed(String reason) {
+    private void closeAsSuperseded(String reason) {
         if (!closed) {
             close();
-            onDeposed.accept(pool, reason);
+            onSuperseded.accept(pool, reason);
         }
     }
 
     /** Reports of workers. */
-    private final class Sessions implements WorkerSessions.Listener {
+    private final class SessionListener implements WorkerSessions.Listener {
         @Override
         public void beforeReport() {
-            distrustAfterPause();
+            checkForPause();
         }
 
         @Override
         public void onReport() {
-            passSoon();
+            schedulePass();
         }
 
         @Override
-        public void onDeposed(String reason) {
-            deposed(reason);
+        public void onSuperseded(String reason) {
+            closeAsSuperseded(reason);
         }
     }
 
     /** Outcomes of progress writes. */
-    private final class Progress implements ProgressWriter.Listener {
+    private final class ProgressListener implements ProgressWriter.Listener {
         @Override
         public void onDurable() {
             // The next hold of each worker carries the acknowledgement.
         }
 
         @Override
-        public void onDeposed(String reason) {
-            deposed(reason);
+        public void onSuperseded(String reason) {
+            closeAsSuperseded(reason);
         }
     }
 
     /** Jobs and cancellations in the store. */
-    private final class Intake implements PrefixWatch.Listener {
+    private final class IntakeListener implements PrefixWatch.Listener {
         @Override
-        public void listed(List<Item> items) {
-            items.forEach(this::changed);
+        public void onListed(List<Item> items) {
+            items.forEach(this::onChanged);
         }
 
         @Override
-        public void changed(Item item) {
+        public void onChanged(Item item) {
             byte @Nullable [] value = item.value();
             if (value == null) {
                 return;
             }
             if (StoreKeys.isCancellation(pool, item.key())) {
-                cancelStored(StoreKeys.lastPart(item.key()));
+                onCancelStored(StoreKeys.lastPart(item.key()));
             } else if (!scheduler.isKnown(StoreKeys.lastPart(item.key()))) {
-                StoredJobs.openJob(item).ifPresent(PoolOwner.this::jobStored);
+                StoredJobs.unfinishedJob(item).ifPresent(PoolOwner.this::onJobStored);
             }
         }
     }
--- a/library/src/main/java/io/radishspindle/pool/runtime/PrefixWatch.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/PrefixWatch.java
@@ -21,18 +21,18 @@
      * How long one watch waits, in milliseconds. Short, because a connection that has gone silent is only noticed at
      * its end, and a change has to be in force within 2.5 s.
      */
-    private static final long WAIT_MS = 1_500;
+    private static final long WATCH_WAIT_MS = 1_500;
 
     private static final long RETRY_MS = 200;
     /** Watches in a row that may find nothing before the prefix is listed again, against a watch that hears nothing. */
-    private static final int QUIET_WATCHES = 8;
+    private static final int MAX_EMPTY_WATCHES = 8;
 
     /** Receives what the watch sees. */
     interface Listener {
         /** Everything under the prefix; what is absent no longer exists. */
-        void listed(List<Item> items);
+        void onListed(List<Item> items);
 
-        void changed(Item item);
+        void onChanged(Item item);
     }
 
     private final Vertx vertx;
@@ -41,17 +41,17 @@
     private final String prefix;
     private final long pauseMs;
     private final Listener listener;
-    private final Consumer<Boolean> reachable;
+    private final Consumer<Boolean> onResult;
     private long revision;
     private boolean listed;
     private boolean closed;
     private boolean failing;
-    private int quiet;
+    private int emptyWatches;
     private long lastSuccessMs = Long.MIN_VALUE;
 
     /**
      * @param pauseMs pause between watches in milliseconds, so that several changes arrive with one call
-     * @param reachable told after each call whether the store has answered
+     * @param onResult told after each call whether the store has answered
      */
     PrefixWatch(
             Vertx vertx,
@@ -60,14 +60,14 @@
             String prefix,
             long pauseMs,
             Listener listener,
-            Consumer<Boolean> reachable) {
+            Consumer<Boolean> onResult) {
         this.vertx = vertx;
         this.clock = clock;
         this.store = store;
         this.prefix = prefix;
         this.pauseMs = pauseMs;
         this.listener = listener;
-        this.reachable = reachable;
+        this.onResult = onResult;
     }
 
     void start() {
@@ -105,20 +105,20 @@
             return;
         }
         if (result.isLeft()) {
-            failed(result.getLeft(), this::list);
+            onFailure(result.getLeft(), this::list);
             return;
         }
-        succeeded();
+        onSuccess();
         revision = result.get().revision();
         listed = true;
-        quiet = 0;
-        listener.listed(result.get().items());
+        emptyWatches = 0;
+        listener.onListed(result.get().items());
         watch();
     }
 
     private void watch() {
         if (!closed) {
-            store.watch(prefix, revision, WAIT_MS).onSuccess(this::onWatched);
+            store.watch(prefix, revision, WATCH_WAIT_MS).onSuccess(this::onWatched);
         }
     }
 
@@ -133,16 +133,16 @@
                 list();
             } else {
                 // Changes may have been missed while the store was away; only a listing tells what has gone.
-                failed(failure, this::list);
+                onFailure(failure, this::list);
             }
             return;
         }
-        succeeded();
+        onSuccess();
         Listing changes = result.get();
-        changes.items().forEach(listener::changed);
+        changes.items().forEach(listener::onChanged);
         revision = Math.max(revision, changes.revision());
-        quiet = changes.items().isEmpty() ? quiet + 1 : 0;
-        if (quiet >= QUIET_WATCHES) {
+        emptyWatches = changes.items().isEmpty() ? emptyWatches + 1 : 0;
+        if (emptyWatches >= MAX_EMPTY_WATCHES) {
             list();
         } else if (pauseMs > 0 && !changes.items().isEmpty()) {
             vertx.setTimer(pauseMs, ignored -> watch());
@@ -151,16 +151,16 @@
         }
     }
 
-    private void succeeded() {
+    private void onSuccess() {
         lastSuccessMs = clock.nowMs();
         if (failing) {
             failing = false;
             Logger.info("event=dependency-regained dependency=store prefix={}", prefix);
         }
-        reachable.accept(true);
+        onResult.accept(true);
     }
 
-    private void failed(Failure failure, Runnable again) {
+    private void onFailure(Failure failure, Runnable retry) {
         if (!failing) {
             failing = true;
             Logger.warn(
@@ -169,7 +169,7 @@
                     failure.step(),
                     failure.message());
         }
-        reachable.accept(false);
-        vertx.setTimer(RETRY_MS, ignored -> again.run());
+        onResult.accept(false);
+        vertx.setTimer(RETRY_MS, ignored -> retry.run());
     }
 }
--- a/library/src/main/java/io/radishspindle/pool/runtime/ProgressWriter.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/ProgressWriter.java
@@ -30,13 +30,13 @@
  */
 final class ProgressWriter {
     /** One entry of a transaction is the condition on the claim; each job takes a condition and up to two writes. */
-    private static final int BATCH = (SharedStore.MAX_TXN_ENTRIES - 1) / 3;
+    private static final int MAX_BATCH_JOBS = (SharedStore.MAX_TXN_ENTRIES - 1) / 3;
     /** Writes under way at once, so that a store that takes 400 ms an answer keeps up with 100 jobs a second. */
     private static final int MAX_IN_FLIGHT = 4;
     /** Coalesces the progress of many jobs into one call; short, since callers wait for the end of their job. */
-    private static final long END_DELAY_MS = 15;
+    private static final long FINAL_WRITE_DELAY_MS = 15;
 
-    private static final long DELAY_MS = 60;
+    private static final long WRITE_DELAY_MS = 60;
     private static final long RETRY_MS = 150;
 
     /** What the writer tells its owner. */
@@ -45,7 +45,7 @@
         void onDurable();
 
         /** The claim is no longer in force. */
-        void onDeposed(String reason);
+        void onSuperseded(String reason);
     }
 
     private final Vertx vertx;
@@ -59,9 +59,9 @@
     private final Map<String, Long> revisions = new HashMap<>();
 
     /** Jobs in the writes under way. */
-    private final Set<String> underWay = new HashSet<>();
+    private final Set<String> inFlightJobs = new HashSet<>();
 
-    private int inFlight;
+    private int writesInFlight;
     private boolean closed;
     private long timer = -1;
     private long timerAtMs;
@@ -84,7 +84,7 @@
     }
 
     /** Notes the progress that was found in the store when the pool was loaded. */
-    void loaded(List<Item> items) {
+    void onLoaded(List<Item> items) {
         items.forEach(item -> revisions.put(item.key(), item.revision()));
     }
 
@@ -94,15 +94,16 @@
     }
 
     /** Arranges a write if progress waits for one. */
-    void poke() {
-        if (closed || inFlight >= MAX_IN_FLIGHT) {
+    void scheduleWrite() {
+        if (closed || writesInFlight >= MAX_IN_FLIGHT) {
             return;
         }
-        boolean onlyEnds = inFlight == 0 && scheduler.progress().hasUnacknowledged();
-        if (!onlyEnds && !scheduler.progress().hasDirty(underWay)) {
+        boolean acknowledgementsDue =
+                writesInFlight == 0 && scheduler.progress().hasUnacknowledged();
+        if (!acknowledgementsDue && !scheduler.progress().hasDirty(inFlightJobs)) {
             return;
         }
-        schedule(scheduler.progress().hasDirtyEnds() ? END_DELAY_MS : DELAY_MS);
+        schedule(scheduler.progress().hasDirtyEnds() ? FINAL_WRITE_DELAY_MS : WRITE_DELAY_MS);
     }
 
     private void schedule(long delayMs) {
@@ -119,12 +120,12 @@
     }
 
     private void write() {
-        if (closed || inFlight >= MAX_IN_FLIGHT) {
+        if (closed || writesInFlight >= MAX_IN_FLIGHT) {
             return;
         }
-        Batch batch = scheduler.progress().take(BATCH, underWay);
+        Batch batch = scheduler.progress().take(MAX_BATCH_JOBS, inFlightJobs);
         if (batch.progress().isEmpty()) {
-            durable(batch);
+            onBatchDurable(batch);
             return;
         }
         List<Write> writes = new ArrayList<>();
@@ -138,14 +139,14 @@
                 writes.add(new Write(StoreKeys.job(pool, id), Records.encode(new EndedJob(progress.phase())), 0));
             }
         });
-        inFlight++;
-        underWay.addAll(batch.progress().keySet());
+        writesInFlight++;
+        inFlightJobs.addAll(batch.progress().keySet());
         store.transact(new Txn(expected, writes, List.of())).onSuccess(result -> {
-            inFlight--;
-            underWay.removeAll(batch.progress().keySet());
+            writesInFlight--;
+            inFlightJobs.removeAll(batch.progress().keySet());
             onWritten(batch, writes, result);
         });
-        poke();
+        scheduleWrite();
     }
 
     private void onWritten(Batch batch, List<Write> writes, Either<Failure, TxnResult> result) {
@@ -161,7 +162,7 @@
             schedule(RETRY_MS);
         } else if (result.get().applied()) {
             writes.forEach(write -> revisions.put(write.key(), result.get().revision()));
-            durable(batch);
+            onBatchDurable(batch);
         } else {
             scheduler.progress().notWritten(batch);
             onConflict(result.get().current());
@@ -170,24 +171,24 @@
 
     /** Either the claim has been replaced, or an earlier write without an answer was carried out after all. */
     private void onConflict(List<Item> current) {
-        boolean claimStands = false;
+        boolean claimInForce = false;
         for (Item item : current) {
             if (item.key().equals(StoreKeys.owner(pool))) {
-                claimStands = item.revision() == claimRevision;
+                claimInForce = item.revision() == claimRevision;
             } else {
                 revisions.put(item.key(), item.revision());
             }
         }
-        if (claimStands) {
-            schedule(DELAY_MS);
+        if (claimInForce) {
+            schedule(WRITE_DELAY_MS);
         } else {
-            listener.onDeposed("progress was not accepted: the claim has been replaced");
+            listener.onSuperseded("progress was not accepted: the claim has been replaced");
         }
     }
 
-    private void durable(Batch batch) {
+    private void onBatchDurable(Batch batch) {
         scheduler.progress().written(batch);
         listener.onDurable();
-        poke();
+        scheduleWrite();
     }
 }
--- a/library/src/main/java/io/radishspindle/pool/runtime/RelayedStore.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/RelayedStore.java
@@ -34,17 +34,17 @@
     /** Wait of a relayed watch, in milliseconds; with a slow store it still ends within the limit above. */
     private static final long RELAYED_WAIT_MS = 700;
     /** A call that waits longer than this counts as unanswered, in milliseconds; a slow store takes up to 400 ms. */
-    private static final long SILENT_MS = 600;
+    private static final long UNANSWERED_CALL_MS = 600;
     /** Bounds of what callers are told to wait, in milliseconds; they repeat a request up to four times. */
     private static final long MIN_RETRY_AFTER_MS = 1_000;
 
     private static final long MAX_RETRY_AFTER_MS = 3_000;
     /** Pause between probes of the direct path while it is down, in milliseconds; callers are refused meanwhile. */
-    private static final long PROBE_PAUSE_MS = 150;
+    private static final long PROBE_INTERVAL_MS = 150;
     /** Limit of a probe, in milliseconds; a slow store takes up to 400 ms. */
     private static final long PROBE_TIMEOUT_MS = 500;
     /** A peer that has not answered is not asked for this long, in milliseconds; a restart takes 1 to 2 s. */
-    private static final long PASS_OVER_MS = 2_000;
+    private static final long PEER_BACKOFF_MS = 2_000;
     /** Peers that are asked for one call. */
     private static final int MAX_PEERS = 2;
 
@@ -55,7 +55,7 @@
     /** Start times of direct calls that wait for an answer, in the order in which they were made. */
     private final Map<Long, Long> outstanding = new LinkedHashMap<>();
 
-    private final Map<String, Long> passedOverUntilMs = new HashMap<>();
+    private final Map<String, Long> backOffUntilMs = new HashMap<>();
 
     private long calls;
     private long lastSuccessMs = Long.MIN_VALUE + 1;
@@ -73,7 +73,7 @@
         this.peers = peers;
     }
 
-    /** Whether the last direct call got no useful answer, or one has waited so long that the store must be silent. */
+    /** Whether the last direct call got no useful answer, or one has waited so long that the store must be unresponsive. */
     boolean isDirectPathDown() {
         if (lastFailureMs > lastSuccessMs) {
             return true;
@@ -83,13 +83,13 @@
             return false;
         }
         long sinceMs = oldest.next();
-        return lastSuccessMs < sinceMs && clock.nowMs() - sinceMs > SILENT_MS;
+        return lastSuccessMs < sinceMs && clock.nowMs() - sinceMs > UNANSWERED_CALL_MS;
     }
 
     /** Called several times a second; finds out soon when the direct path is back. */
     void tick() {
         long nowMs = clock.nowMs();
-        if (isDirectPathDown() && nowMs - lastProbeMs >= PROBE_PAUSE_MS) {
+        if (isDirectPathDown() && nowMs - lastProbeMs >= PROBE_INTERVAL_MS) {
             lastProbeMs = nowMs;
             direct.probe(PROBE_TIMEOUT_MS).onSuccess(result -> observe(result, nowMs));
         }
@@ -129,13 +129,13 @@
     public Future<Either<Failure, Listing>> watch(String prefix, long afterRevision, long waitMs) {
         if (isDirectPathDown() && !peers.get().isEmpty()) {
             RelayStore relay = new RelayStore("watch", prefix, afterRevision, Map.of(), List.of(), List.of());
-            return relay(relay, 0, unreachable("watch")).map(reply -> reply.map(RelayedStore::listing));
+            return relay(relay, 0, unavailable("watch")).map(reply -> reply.map(RelayedStore::listing));
         }
         long sentAtMs = clock.nowMs();
         return direct.watch(prefix, afterRevision, waitMs).onSuccess(result -> observe(result, sentAtMs));
     }
 
-    private static Failure unreachable(String operation) {
+    private static Failure unavailable(String operation) {
         return Failure.retryable(
                 ErrorCode.STORE_UNAVAILABLE, "store." + operation, "store", "store is away", MIN_RETRY_AFTER_MS);
     }
@@ -169,8 +169,8 @@
     public Future<Either<Failure, Long>> renewLease(long lease) {
         RelayStore relay = new RelayStore("renew", "", lease, Map.of(), List.of(), List.of());
         return direct(() -> direct.renewLease(lease)).compose(result -> {
-            boolean open = result.isLeft() && result.getLeft().code() != ErrorCode.NOT_FOUND;
-            return open
+            boolean unresolved = result.isLeft() && result.getLeft().code() != ErrorCode.NOT_FOUND;
+            return unresolved
                     ? relay(relay, 0, result.getLeft()).map(reply -> reply.map(StoreRelayed::revision))
                     : Future.succeededFuture(result);
         });
@@ -194,7 +194,7 @@
     private <T> Future<Either<Failure, T>> call(
             Supplier<Future<Either<Failure, T>>> directCall, RelayStore relay, Function<StoreRelayed, T> decoder) {
         if (isDirectPathDown()) {
-            return relay(relay, 0, unreachable(relay.operation())).compose(reply -> {
+            return relay(relay, 0, unavailable(relay.operation())).compose(reply -> {
                 boolean notRun = reply.isLeft() && reply.getLeft().notRun();
                 return notRun && peers.get().isEmpty()
                         ? direct(directCall)
@@ -202,10 +202,10 @@
             });
         }
         return direct(directCall).compose(result -> {
-            boolean refused = result.isLeft()
+            boolean rejected = result.isLeft()
                     && result.getLeft().notRun()
                     && result.getLeft().code() == ErrorCode.STORE_UNAVAILABLE;
-            return refused
+            return rejected
                     ? relay(relay, 0, result.getLeft()).map(reply -> reply.map(decoder))
                     : Future.succeededFuture(result);
         });
@@ -219,7 +219,7 @@
         String peer = nextPeer(candidates);
         return messenger
                 .request(peer, message, StoreRelayed.class, RELAY_TIMEOUT_MS)
-                .onSuccess(reply -> noteAnswer(peer, reply))
+                .onSuccess(reply -> recordReply(peer, reply))
                 .compose(reply -> reply.isLeft() && reply.getLeft().notRun() && isOutage(reply.getLeft())
                         ? relay(message, tries + 1, cause)
                         : Future.succeededFuture(reply));
@@ -229,21 +229,21 @@
     private String nextPeer(List<String> candidates) {
         for (int i = 0; i < candidates.size(); i++) {
             String peer = candidates.get(Math.floorMod(rotation++, candidates.size()));
-            if (passedOverUntilMs.getOrDefault(peer, Long.MIN_VALUE) <= clock.nowMs()) {
+            if (backOffUntilMs.getOrDefault(peer, Long.MIN_VALUE) <= clock.nowMs()) {
                 return peer;
             }
         }
         return candidates.get(Math.floorMod(rotation++, candidates.size()));
     }
 
-    private void noteAnswer(String peer, Either<Failure, StoreRelayed> reply) {
-        boolean silent = reply.isLeft()
+    private void recordReply(String peer, Either<Failure, StoreRelayed> reply) {
+        boolean unresponsive = reply.isLeft()
                 && (reply.getLeft().code() == ErrorCode.PEER_UNREACHABLE
                         || reply.getLeft().code() == ErrorCode.OUTCOME_UNKNOWN);
-        if (silent) {
-            passedOverUntilMs.put(peer, clock.nowMs() + PASS_OVER_MS);
+        if (unresponsive) {
+            backOffUntilMs.put(peer, clock.nowMs() + PEER_BACKOFF_MS);
         } else {
-            passedOverUntilMs.remove(peer);
+            backOffUntilMs.remove(peer);
         }
     }
 
--- a/library/src/main/java/io/radishspindle/pool/runtime/SliceSizing.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/SliceSizing.java
@@ -23,17 +23,17 @@
  */
 final class SliceSizing {
     /** Wait before the first VM decides, in milliseconds, so that VMs that start together see each other. */
-    private static final long FIRST_MS = 50;
+    private static final long FIRST_DECISION_DELAY_MS = 50;
     /** Head start of each VM over the next one, in milliseconds; a decision is rare and may wait for a second VM. */
     private static final long RANK_DELAY_MS = 1_000;
     /** The number of workers has settled when it has stayed the same for this long, in milliseconds. */
-    private static final long SETTLE_MS = 800;
+    private static final long STABLE_MS = 800;
     /** Longest wait for workers to register, in milliseconds; on hanji-bindery-grown they take 6 s. */
     private static final long MAX_WAIT_MS = 10_000;
     /** Pause before a failed call is repeated, in milliseconds. */
     private static final long RETRY_MS = 250;
     /** Each pool takes a condition and a write. */
-    private static final int BATCH = SharedStore.MAX_TXN_ENTRIES / 2;
+    private static final int MAX_BATCH_POOLS = SharedStore.MAX_TXN_ENTRIES / 2;
 
     private final Clock clock;
     private final SharedStore store;
@@ -57,7 +57,7 @@
     void tick(List<String> pools) {
         List<String> unsized = pools.stream()
                 .filter(pool -> view.sliceCount(pool).isEmpty())
-                .limit(BATCH)
+                .limit(MAX_BATCH_POOLS)
                 .toList();
         if (unsized.isEmpty()) {
             notBeforeMs = Long.MAX_VALUE;
@@ -66,7 +66,7 @@
         if (notBeforeMs == Long.MAX_VALUE) {
             int rank =
                     new TreeSet<>(view.active().keySet()).headSet(self.vmId()).size();
-            notBeforeMs = clock.nowMs() + FIRST_MS + rank * RANK_DELAY_MS;
+            notBeforeMs = clock.nowMs() + FIRST_DECISION_DELAY_MS + rank * RANK_DELAY_MS;
             decideByMs = notBeforeMs + MAX_WAIT_MS;
         }
         if (!busy && clock.nowMs() >= notBeforeMs) {
@@ -76,7 +76,7 @@
     }
 
     /** Decides by the workers that are registered now, since requests arrive for a pool that has no number yet. */
-    void hurry() {
+    void expedite() {
         decideByMs = clock.nowMs();
         if (notBeforeMs != Long.MAX_VALUE) {
             notBeforeMs = Math.min(notBeforeMs, decideByMs);
@@ -85,18 +85,18 @@
 
     private void onListed(List<String> pools, Either<Failure, Listing> listing) {
         if (listing.isLeft()) {
-            failed(pools, listing.getLeft());
+            onFailure(pools, listing.getLeft());
             return;
         }
         Map<String, Integer> workers = count(pools, listing.get().items());
-        boolean settled = workers.size() == pools.size() && workers.equals(lastWorkers);
-        if (settled || clock.nowMs() >= decideByMs) {
+        boolean stable = workers.size() == pools.size() && workers.equals(lastWorkers);
+        if (stable || clock.nowMs() >= decideByMs) {
             write(pools, workers);
             return;
         }
         lastWorkers = workers;
         busy = false;
-        notBeforeMs = Math.min(clock.nowMs() + SETTLE_MS, decideByMs);
+        notBeforeMs = Math.min(clock.nowMs() + STABLE_MS, decideByMs);
     }
 
     /** Registered workers of those pools that have any. */
@@ -129,17 +129,17 @@
     private void onWritten(
             List<String> pools, Map<String, Integer> workers, List<Write> writes, Either<Failure, TxnResult> result) {
         if (result.isLeft()) {
-            failed(pools, result.getLeft());
+            onFailure(pools, result.getLeft());
             return;
         }
         busy = false;
         notBeforeMs = Long.MAX_VALUE;
         TxnResult txn = result.get();
         if (!txn.applied()) {
-            txn.current().stream().filter(Item::exists).forEach(view::changed);
+            txn.current().stream().filter(Item::exists).forEach(view::onChanged);
             return;
         }
-        writes.forEach(write -> view.changed(new Item(write.key(), write.value(), txn.revision())));
+        writes.forEach(write -> view.onChanged(new Item(write.key(), write.value(), txn.revision())));
         pools.forEach(pool -> Logger.info(
                 "event=pool-sized pool={} workers={} slices={}",
                 pool,
@@ -148,7 +148,7 @@
     }
 
     /** The write may have been carried out; the next try then finds it. */
-    private void failed(List<String> pools, Failure failure) {
+    private void onFailure(List<String> pools, Failure failure) {
         busy = false;
         notBeforeMs = clock.nowMs() + RETRY_MS;
         Logger.warn("event=pool-sizing-failed pools={} error=\"{}\"", pools, failure.message());
--- a/library/src/main/java/io/radishspindle/pool/runtime/StoredJobs.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/StoredJobs.java
@@ -54,14 +54,14 @@
             } else if (cancelled.contains(id) || isEnded(item)) {
                 scheduler.loadEnded(id, JobPhase.CANCELLED, wallMs);
             } else {
-                openJob(item).ifPresent(job -> scheduler.load(job, saved, false, wallMs));
+                unfinishedJob(item).ifPresent(job -> scheduler.load(job, saved, false, wallMs));
             }
         }
         return jobs.size();
     }
 
     /** The job of an item; empty if it has ended, has been removed or can't be read, which is logged. */
-    static Optional<PoolJob> openJob(Item item) {
+    static Optional<PoolJob> unfinishedJob(Item item) {
         return isEnded(item) ? Optional.empty() : decode(item, PoolJob.class);
     }
 
--- a/library/src/main/java/io/radishspindle/pool/runtime/WorkerSessions.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/WorkerSessions.java
@@ -25,7 +25,7 @@
  * Talks to the workers of one pool for its owner: one hold a worker at a time, which renews leases and brings ends,
  * and orders beside it. Belongs to one event loop.
  *
- * <p>Invariant: reports are passed on only after {@link #open}, when the jobs of the pool are known; otherwise runs of
+ * <p>Invariant: reports are passed on only after {@link #startDelivery}, when the jobs of the pool are known; otherwise runs of
  * known jobs would be taken for strangers and stopped.
  */
 final class WorkerSessions {
@@ -38,7 +38,7 @@
         void onReport();
 
         /** A worker has seen a higher fencing token. */
-        void onDeposed(String reason);
+        void onSuperseded(String reason);
     }
 
     private final Vertx vertx;
@@ -50,9 +50,9 @@
     private final Listener listener;
     private final Set<String> polled = new HashSet<>();
     /** Answers that came before the jobs of the pool were known. */
-    private final List<Runnable> early = new ArrayList<>();
+    private final List<Runnable> buffered = new ArrayList<>();
 
-    private boolean open;
+    private boolean delivering;
     private boolean closed;
 
     WorkerSessions(
@@ -74,14 +74,14 @@
 
     void close() {
         closed = true;
-        early.clear();
+        buffered.clear();
     }
 
     /** Passes on the reports that have come meanwhile, and all later ones at once. */
-    void open() {
-        open = true;
-        List<Runnable> waiting = List.copyOf(early);
-        early.clear();
+    void startDelivery() {
+        delivering = true;
+        List<Runnable> waiting = List.copyOf(buffered);
+        buffered.clear();
         waiting.forEach(Runnable::run);
     }
 
@@ -107,10 +107,10 @@
             if (closed) {
                 return;
             }
-            if (open) {
+            if (delivering) {
                 onHold(worker, sentAtMs, receivedAtMs, result);
             } else {
-                early.add(() -> onHold(worker, sentAtMs, receivedAtMs, result));
+                buffered.add(() -> onHold(worker, sentAtMs, receivedAtMs, result));
             }
         });
     }
@@ -132,7 +132,7 @@
             return;
         }
         if (result.isRight() && result.get().answer() == Answer.FENCED) {
-            listener.onDeposed("worker " + id + " has seen a higher fencing token");
+            listener.onSuperseded("worker " + id + " has seen a higher fencing token");
             return;
         }
         scheduler.holdFailed(id, sentAtMs);
@@ -175,7 +175,7 @@
 
     private void onStartAnswer(String worker, Run run, @Nullable Answer answer) {
         if (answer == Answer.FENCED) {
-            listener.onDeposed("worker " + worker + " has seen a higher fencing token");
+            listener.onSuperseded("worker " + worker + " has seen a higher fencing token");
             return;
         }
         scheduler.startAnswered(worker, run, answer, clock.nowMs());
@@ -192,7 +192,7 @@
             if (!closed) {
                 Answer answer = answerOf(result, null);
                 if (answer == Answer.FENCED) {
-                    listener.onDeposed("worker " + worker.id() + " has seen a higher fencing token");
+                    listener.onSuperseded("worker " + worker.id() + " has seen a higher fencing token");
                 } else {
                     scheduler.stopAnswered(worker.id(), run, answer, clock.nowMs());
                 }
@@ -212,11 +212,11 @@
         });
     }
 
-    /** The answer; {@code notSent} for a call that surely had no effect, null if that is not known. */
-    private static @Nullable Answer answerOf(Either<Failure, Reply> result, @Nullable Answer notSent) {
+    /** The answer; {@code ifNotRun} for a call that surely had no effect, null if that is not known. */
+    private static @Nullable Answer answerOf(Either<Failure, Reply> result, @Nullable Answer ifNotRun) {
         if (result.isRight()) {
             return result.get().answer();
         }
-        return result.getLeft().notRun() ? notSent : null;
+        return result.getLeft().notRun() ? ifNotRun : null;
     }
 }
--- a/library/src/test/java/io/radishspindle/pool/runtime/AdviceDispatcherTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/AdviceDispatcherTest.java
@@ -44,7 +44,7 @@
     private void addVms(String... names) {
         for (String vm : names) {
             Records.Member member = new Records.Member("10.0.0.1", 80, "dc", "r", "1", 1, false);
-            view.changed(new SharedStore.Item(StoreKeys.member(vm), Records.encode(member), 1));
+            view.onChanged(new SharedStore.Item(StoreKeys.member(vm), Records.encode(member), 1));
             messenger.peers.put(vm, message -> Promise.<Either<Failure, AdviceGiven>>promise()
                     .future());
         }
@@ -63,7 +63,7 @@
         ask();
 
         // then
-        assertThat(messenger.asked).containsExactlyInAnyOrder("b", "c");
+        assertThat(messenger.requestedVms).containsExactlyInAnyOrder("b", "c");
         assertThat(dispatcher.idleChannels("first")).isZero();
     }
 
@@ -80,7 +80,7 @@
         }
 
         // then
-        assertThat(messenger.asked.stream().filter("b"::equals)).hasSize(1);
+        assertThat(messenger.requestedVms.stream().filter("b"::equals)).hasSize(1);
         clock.nowMs += 1_001;
         assertThat(dispatcher.idleChannels("first")).isEqualTo(3);
     }
@@ -98,7 +98,7 @@
 
         // then
         assertThat(answer.result().isRight()).isTrue();
-        assertThat(messenger.asked).containsExactly("b", "c", "c");
+        assertThat(messenger.requestedVms).containsExactly("b", "c", "c");
     }
 
     /** Guards against short calls that wait 0.6 s behind the long calls of another pool, as seen on a busy day. */
@@ -114,7 +114,7 @@
         }
 
         // then
-        assertThat(messenger.asked).containsExactlyInAnyOrder("c", "e", "g", "b", "d");
+        assertThat(messenger.requestedVms).containsExactlyInAnyOrder("c", "e", "g", "b", "d");
     }
 
     @Test
--- a/library/src/test/java/io/radishspindle/pool/runtime/ConfigRelayTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/ConfigRelayTest.java
@@ -53,7 +53,7 @@
         for (int i = 0; i < vms; i++) {
             Records.Member member =
                     new Records.Member("10.0.0.1", 80, region + (i < 2 ? "-a" : "-b"), region, "1", vms - i, false);
-            view.changed(new Item(StoreKeys.member(region + "-" + i), Records.encode(member), 1));
+            view.onChanged(new Item(StoreKeys.member(region + "-" + i), Records.encode(member), 1));
         }
     }
 
@@ -86,7 +86,7 @@
         List<Listing> seen = new ArrayList<>();
         for (int i : new int[] {0, 2, 1, 3, 4, 5, 6}) {
             Listing listing = get(relays.get(i).list(KEY));
-            listing.items().forEach(relays.get(i)::seen);
+            listing.items().forEach(relays.get(i)::onConfigRead);
             seen.add(listing);
         }
 
@@ -101,7 +101,7 @@
         Listing listing = get(relay(vm).list(KEY));
 
         assertThat(listing.items()).hasSize(1);
-        assertThat(messenger.asked).isEmpty();
+        assertThat(messenger.requestedVms).isEmpty();
     }
 
     @Test
@@ -117,29 +117,29 @@
     void should_ask_the_second_reader_when_the_first_does_not_answer() {
         // given
         ConfigRelay second = relay("far-2");
-        second.seen(store.items.get(KEY));
+        second.onConfigRead(store.items.get(KEY));
         serve("far-2", second);
-        ConfigRelay asking = relay("far-6");
+        ConfigRelay querying = relay("far-6");
 
         // when
-        Listing listing = get(asking.watch(KEY, 3, 1_500));
-        get(asking.watch(KEY, 3, 1_500));
+        Listing listing = get(querying.watch(KEY, 3, 1_500));
+        get(querying.watch(KEY, 3, 1_500));
 
         // then
         assertThat(listing.items()).hasSize(1);
         assertThat(listing.revision()).isEqualTo(7);
-        assertThat(messenger.asked).containsExactly("far-0", "far-2", "far-2");
+        assertThat(messenger.requestedVms).containsExactly("far-0", "far-2", "far-2");
     }
 
     @Test
     void should_read_the_store_directly_once_no_reader_has_answered_for_long() {
         // given
-        ConfigRelay asking = relay("far-6");
+        ConfigRelay querying = relay("far-6");
 
         // when
-        Either<Failure, Listing> early = asking.list(KEY).result();
+        Either<Failure, Listing> early = querying.list(KEY).result();
         clock.nowMs += 1_500;
-        Either<Failure, Listing> late = asking.list(KEY).result();
+        Either<Failure, Listing> late = querying.list(KEY).result();
 
         // then
         assertThat(early.isLeft()).isTrue();
@@ -154,35 +154,35 @@
         fresh = false;
         for (String reader : List.of("far-0", "far-2")) {
             ConfigRelay relay = relay(reader);
-            relay.seen(store.items.get(KEY));
+            relay.onConfigRead(store.items.get(KEY));
             serve(reader, relay);
         }
-        ConfigRelay asking = relay("far-6");
+        ConfigRelay querying = relay("far-6");
 
         // when
         for (int i = 0; i < 20; i++) {
-            assertThat(asking.list(KEY).result().isLeft()).isTrue();
+            assertThat(querying.list(KEY).result().isLeft()).isTrue();
             clock.nowMs += 200;
         }
 
         // then
         assertThat(store.calls).isZero();
         fresh = true;
-        assertThat(get(asking.list(KEY)).items()).hasSize(1);
+        assertThat(get(querying.list(KEY)).items()).hasSize(1);
     }
 
     @Test
     void should_answer_as_soon_as_there_is_a_newer_configuration() {
         // given
         ConfigRelay reader = relay("far-0");
-        reader.seen(store.items.get(KEY));
+        reader.onConfigRead(store.items.get(KEY));
 
         // when
         Future<Either<Failure, PeerMessage>> answer = reader.serve(new QueryConfig(7, 5_000));
 
         // then
         assertThat(answer.isComplete()).isFalse();
-        reader.seen(new Item(KEY, new byte[] {2}, 9));
+        reader.onConfigRead(new Item(KEY, new byte[] {2}, 9));
         assertThat(answer.result().get()).isInstanceOfSatisfying(ConfigAnswer.class, given -> {
             assertThat(given.revision()).isEqualTo(9);
             assertThat(given.value()).containsExactly(2);
@@ -193,7 +193,7 @@
     void should_answer_after_the_wait_when_nothing_has_changed() throws TimeoutException {
         // given
         ConfigRelay reader = relay("far-0");
-        reader.seen(store.items.get(KEY));
+        reader.onConfigRead(store.items.get(KEY));
         serve("far-0", reader);
 
         // when
@@ -210,17 +210,17 @@
         // given
         for (String vm : List.of("far-0", "far-2")) {
             ConfigRelay reader = relay(vm);
-            reader.seen(new Item(KEY, new byte[1024 * 1024], 8));
+            reader.onConfigRead(new Item(KEY, new byte[1024 * 1024], 8));
             serve(vm, reader);
         }
-        ConfigRelay asking = relay("far-6");
+        ConfigRelay querying = relay("far-6");
 
         // when
-        Either<Failure, Listing> early = asking.list(KEY).result();
+        Either<Failure, Listing> early = querying.list(KEY).result();
         clock.nowMs += 1_500;
 
         // then
         assertThat(early.isLeft()).isTrue();
-        assertThat(get(asking.list(KEY)).items()).hasSize(1);
+        assertThat(get(querying.list(KEY)).items()).hasSize(1);
     }
 }
--- a/library/src/test/java/io/radishspindle/pool/runtime/FakeMessenger.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/FakeMessenger.java
@@ -16,7 +16,7 @@
 final class FakeMessenger implements PeerMessenger {
     final Map<String, Function<PeerMessage, Future<? extends Either<Failure, ? extends PeerMessage>>>> peers =
             new HashMap<>();
-    final List<String> asked = new ArrayList<>();
+    final List<String> requestedVms = new ArrayList<>();
     final List<PeerMessage> sent = new ArrayList<>();
 
     @Override
@@ -28,7 +28,7 @@
     @SuppressWarnings("unchecked")
     public <R extends PeerMessage> Future<Either<Failure, R>> request(
             String toVm, PeerMessage message, Class<R> replyType, long timeoutMs) {
-        asked.add(toVm);
+        requestedVms.add(toVm);
         var peer = peers.get(toVm);
         if (peer == null) {
             return Future.succeededFuture(Either.left(
--- a/library/src/test/java/io/radishspindle/pool/runtime/JobIntakeTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/JobIntakeTest.java
@@ -29,8 +29,8 @@
 
     private final FakeSharedStore store = new FakeSharedStore();
     private final SystemClock clock = new SystemClock();
-    private final List<String> told = new ArrayList<>();
-    private boolean storeAway;
+    private final List<String> storedIds = new ArrayList<>();
+    private boolean storeUnavailable;
     private Vertx vertx;
     private Context context;
     private JobIntake intake;
@@ -39,7 +39,8 @@
     void createIntake() {
         vertx = Vertx.vertx();
         context = vertx.getOrCreateContext();
-        intake = new JobIntake(vertx, clock, store, job -> told.add(job.id()), () -> storeAway, () -> 2_000);
+        intake =
+                new JobIntake(vertx, clock, store, job -> storedIds.add(job.id()), () -> storeUnavailable, () -> 2_000);
     }
 
     @AfterEach
@@ -80,7 +81,7 @@
         // then
         assertThat(store.items).hasSize(30);
         assertThat(store.calls).isLessThan(5);
-        assertThat(told).hasSize(30);
+        assertThat(storedIds).hasSize(30);
     }
 
     @Test
@@ -112,7 +113,7 @@
     }
 
     @Test
-    void should_refuse_at_once_when_the_store_has_done_nothing() throws TimeoutException {
+    void should_reject_at_once_when_the_store_has_rejected_the_write() throws TimeoutException {
         // given
         store.fault = Fault.REFUSE;
 
@@ -135,11 +136,11 @@
 
         // then
         assertThat(result.isRight()).isTrue();
-        assertThat(told).containsExactly("j");
+        assertThat(storedIds).containsExactly("j");
     }
 
     @Test
-    void should_never_call_an_open_outcome_not_run() throws TimeoutException {
+    void should_never_report_an_unknown_outcome_as_not_run() throws TimeoutException {
         // given
         deadlineAfterMs = 300;
         store.firstFaults.add(Fault.LOSE_CALL);
@@ -153,10 +154,10 @@
     }
 
     @Test
-    void should_answer_an_open_outcome_at_once_while_the_store_is_away() throws TimeoutException {
+    void should_report_an_unknown_outcome_at_once_while_the_store_is_unavailable() throws TimeoutException {
         // given
         store.fault = Fault.LOSE_CALL;
-        storeAway = true;
+        storeUnavailable = true;
 
         // when
         Either<Failure, PoolJob> result = submit("j");
--- a/library/src/test/java/io/radishspindle/pool/runtime/OwnerElectionTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/OwnerElectionTest.java
@@ -47,14 +47,14 @@
 
     private void addMember(String vm, double strength, boolean draining) {
         Records.Member member = new Records.Member("10.0.0.1", 80, "dc", "r", "1", strength, draining);
-        view.changed(new Item(StoreKeys.member(vm), Records.encode(member), 1));
+        view.onChanged(new Item(StoreKeys.member(vm), Records.encode(member), 1));
     }
 
     /** Another VM owns the pool. */
     private void setOwner(String vm) {
         Item item = new Item(StoreKeys.owner(POOL), Records.encode(new Records.Owner(vm, "1")), 5);
         store.items.put(item.key(), item);
-        view.changed(item);
+        view.onChanged(item);
     }
 
     private void tickFor(long durationMs) {
@@ -71,7 +71,7 @@
 
         assertThat(claims).hasSize(1);
         assertThat(store.items.get(StoreKeys.owner(POOL)).revision()).isEqualTo(claims.get(0));
-        assertThat(election.holds(POOL)).isTrue();
+        assertThat(election.ownsOrClaims(POOL)).isTrue();
     }
 
     @Test
@@ -126,9 +126,9 @@
         tickFor(500);
 
         // then
-        assertThat(election.holds(POOL)).isTrue();
+        assertThat(election.ownsOrClaims(POOL)).isTrue();
         store.hanging.forEach(Runnable::run);
-        assertThat(election.holds(POOL)).isFalse();
+        assertThat(election.ownsOrClaims(POOL)).isFalse();
     }
 
     @Test
@@ -156,7 +156,7 @@
 
         // then
         assertThat(claims).isEmpty();
-        assertThat(messenger.asked).isNotEmpty();
+        assertThat(messenger.requestedVms).isNotEmpty();
     }
 
     @Test
--- a/library/src/test/java/io/radishspindle/pool/runtime/PauseDetectorTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/PauseDetectorTest.java
@@ -40,7 +40,7 @@
         wallMs += timeOfDayMs;
 
         // then
-        assertThat(detector.look()).isEqualTo(pauseMs);
-        assertThat(detector.look()).isZero();
+        assertThat(detector.check()).isEqualTo(pauseMs);
+        assertThat(detector.check()).isZero();
     }
 }
--- a/library/src/test/java/io/radishspindle/pool/runtime/PoolSlicesTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/PoolSlicesTest.java
@@ -24,7 +24,7 @@
     private final PoolSlices slices = new PoolSlices(view);
 
     private void setCount(int count) {
-        view.changed(new Item(StoreKeys.slices(POOL), Records.encode(new Records.Slices(count)), 1));
+        view.onChanged(new Item(StoreKeys.slices(POOL), Records.encode(new Records.Slices(count)), 1));
     }
 
     private static WorkerEntry worker(int number, String rack) {
--- a/library/src/test/java/io/radishspindle/pool/runtime/ProgressWriterTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/ProgressWriterTest.java
@@ -32,7 +32,7 @@
 
     private final FakeSharedStore store = new FakeSharedStore();
     private final PoolScheduler scheduler = new PoolScheduler();
-    private final Promise<String> deposed = Promise.promise();
+    private final Promise<String> superseded = Promise.promise();
     private Promise<Void> durable = Promise.promise();
     private Vertx vertx;
     private Context context;
@@ -51,8 +51,8 @@
                     }
 
                     @Override
-                    public void onDeposed(String reason) {
-                        deposed.tryComplete(reason);
+                    public void onSuperseded(String reason) {
+                        superseded.tryComplete(reason);
                     }
                 });
         scheduler.load(job("j"), null, false, 1);
@@ -76,7 +76,7 @@
             scheduler
                     .progress()
                     .notWritten(new ProgressLedger.Batch(0, Map.of("j", new JobProgress(phase, 0, List.of()))));
-            writer.poke();
+            writer.scheduleWrite();
         });
         durable.future().await(10, TimeUnit.SECONDS);
     }
@@ -111,7 +111,7 @@
 
         // then
         assertThat(store.calls).isEqualTo(4);
-        assertThat(deposed.future().isComplete()).isFalse();
+        assertThat(superseded.future().isComplete()).isFalse();
     }
 
     @Test
@@ -125,11 +125,11 @@
                     .progress()
                     .notWritten(
                             new ProgressLedger.Batch(0, Map.of("j", new JobProgress(JobPhase.RUNNING, 0, List.of()))));
-            writer.poke();
+            writer.scheduleWrite();
         });
 
         // then
-        assertThat(deposed.future().await(10, TimeUnit.SECONDS)).contains("replaced");
+        assertThat(superseded.future().await(10, TimeUnit.SECONDS)).contains("replaced");
     }
 
     /** A new owner reads the items of all jobs; those of ended jobs used to take most of that time. */
@@ -159,7 +159,7 @@
         store.hangs = true;
 
         // when
-        context.runOnContext(ignored -> writer.poke());
+        context.runOnContext(ignored -> writer.scheduleWrite());
         await(() -> store.hanging.size() == 4);
 
         // then no more than four writes, each with jobs of its own
@@ -170,7 +170,7 @@
                         .count()
                 >= 60);
         assertThat(store.hanging).hasSize(4);
-        assertThat(deposed.future().isComplete()).isFalse();
+        assertThat(superseded.future().isComplete()).isFalse();
     }
 
     private void submitJobs(int count) {
--- a/library/src/test/java/io/radishspindle/pool/runtime/RelayedStoreTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/RelayedStoreTest.java
@@ -40,7 +40,7 @@
     @Test
     void should_go_directly_while_the_store_answers() {
         assertThat(write().get().applied()).isTrue();
-        assertThat(messenger.asked).isEmpty();
+        assertThat(messenger.requestedVms).isEmpty();
     }
 
     @Test
@@ -68,7 +68,7 @@
 
         // then
         assertThat(result.getLeft().notRun()).isFalse();
-        assertThat(messenger.asked).isEmpty();
+        assertThat(messenger.requestedVms).isEmpty();
     }
 
     @Test
@@ -97,7 +97,7 @@
         // then
         assertThat(result.getLeft().code()).isEqualTo(ErrorCode.STORE_UNAVAILABLE);
         assertThat(result.getLeft().notRun()).isTrue();
-        assertThat(messenger.asked).hasSize(2);
+        assertThat(messenger.requestedVms).hasSize(2);
     }
 
     /** Guards against listing everything several times a second for as long as the store turns this VM away. */
--- a/library/src/test/java/io/radishspindle/pool/runtime/SliceSizingTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/SliceSizingTest.java
@@ -55,7 +55,7 @@
             sizing = new SliceSizing(clock, store, new PlainCodec(), view, self);
             for (String vm : List.of("a", "b")) {
                 Records.Member member = new Records.Member("10.0.0.1", 80, "dc", "r", "1", 1, false);
-                view.changed(new Item(StoreKeys.member(vm), Records.encode(member), 1));
+                view.onChanged(new Item(StoreKeys.member(vm), Records.encode(member), 1));
             }
         }
 
@@ -166,7 +166,7 @@
 
     /** On the first day of a deployment the workers register in the seconds after the VMs have started. */
     @Test
-    void should_wait_until_the_number_of_workers_has_settled() {
+    void should_wait_until_the_number_of_workers_is_stable() {
         // given
         store.items.clear();
         Vm first = new Vm("a");
@@ -207,7 +207,7 @@
         second.tickFor(50);
 
         // when
-        second.sizing.hurry();
+        second.sizing.expedite();
         second.tickFor(50);
 
         // then
--- a/library/src/test/java/io/radishspindle/pool/runtime/StoreReturnTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/StoreReturnTest.java
@@ -128,7 +128,7 @@
         messenger.peers.put(
                 "b", message -> Future.succeededFuture(Either.left(Failure.unknown("peer.request", "b", "no answer"))));
         loseStore(Fault.REFUSE);
-        messenger.asked.clear();
+        messenger.requestedVms.clear();
 
         // when
         write();
@@ -136,7 +136,7 @@
         write();
 
         // then
-        assertThat(messenger.asked).filteredOn("b"::equals).hasSizeLessThanOrEqualTo(1);
+        assertThat(messenger.requestedVms).filteredOn("b"::equals).hasSizeLessThanOrEqualTo(1);
         assertThat(store.get("k").await().getLeft().code()).isEqualTo(ErrorCode.STORE_UNAVAILABLE);
     }
 }
--- a/library/src/test/java/io/radishspindle/pool/runtime/StoredJobsTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/StoredJobsTest.java
@@ -103,6 +103,6 @@
     void should_see_no_open_job_in_the_item_of_an_ended_one() {
         storeJob(new Records.EndedJob(JobPhase.COMPLETED));
 
-        assertThat(StoredJobs.openJob(intake.get(0))).isEmpty();
+        assertThat(StoredJobs.unfinishedJob(intake.get(0))).isEmpty();
     }
 }
