--- a/library/src/main/java/io/radishspindle/pool/runtime/ControlView.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/ControlView.java
@@ -15,20 +15,24 @@
 import java.util.TreeMap;
 
 /**
- * What this VM knows of the other VMs and of the owners and slices of pools, as followed in the shared store. Belongs
- * to one event loop.
+ * This VM's view of the other VMs and of the owners and slice counts of pools, kept up to date by a watch of the shared
+ * store. Confined to one event loop.
  *
- * <p>Invariants: the address of a VM stays known after its entry has gone, so that VMs still reach each other while
- * the store is away; a number of slices that was read stays known.
+ * <p>Invariants: the address of a VM stays known after its entry was removed, so that VMs still reach each other while
+ * the store is unavailable; a slice count that was read stays known.
  */
 final class ControlView implements PrefixWatch.Listener, PeerDirectory {
     /** An owner with the revision of its claim, which is its fencing token. */
     record Ownership(Owner owner, long revision) {}
 
     private final Clock clock;
+    /** VMs whose entries are present. */
     private final Map<String, Member> live = new HashMap<>();
+
     private final Map<String, Member> active = new HashMap<>();
+    /** Last entry of every VM that was ever present. */
     private final Map<String, Member> known = new HashMap<>();
+
     private final Map<String, Ownership> owners = new HashMap<>();
     private final Map<String, Long> ownerlessSinceMs = new HashMap<>();
     private final Map<String, Integer> sliceCounts = new HashMap<>();
@@ -92,7 +96,7 @@
         ownerlessSinceMs.put(pool, clock.nowMs());
     }
 
-    /** Rises with every change, so that what is derived from the view can be kept until then. */
+    /** Incremented with every change, so that values derived from the view can be cached. */
     long version() {
         return version;
     }
@@ -102,7 +106,7 @@
         return Optional.ofNullable(sliceCounts.get(pool));
     }
 
-    /** VMs whose entries are present and that are not about to stop. */
+    /** VMs whose entries are present and that are not draining. */
     Map<String, Member> active() {
         return active;
     }
--- a/library/src/main/java/io/radishspindle/pool/runtime/NodeLease.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/NodeLease.java
@@ -15,11 +15,11 @@
 import org.tinylog.Logger;
 
 /**
- * The lease of this VM in the shared store; the VM's entry and its ownerships are bound to it. Belongs to one event
- * loop.
+ * The lease of this VM in the shared store. The VM's member entry and its claims are bound to it, so that they vanish
+ * when it expires. Confined to one event loop.
  */
 final class NodeLease {
-    /** Life of the lease without renewal, in milliseconds; four renewals may fail. */
+    /** Time to live of the lease, in milliseconds; four renewals in a row may fail before it expires. */
     private static final long TTL_MS = 2_000;
 
     private static final long RENEW_INTERVAL_MS = 450;
@@ -37,7 +37,7 @@
         this.self = self;
     }
 
-    /** Id of the lease; 0 while there is none. */
+    /** Id of the lease; 0 if there is none. */
     long id() {
         return lease;
     }
@@ -77,9 +77,9 @@
     }
 
     /**
-     * Announces that this VM is about to stop, so that others neither wait for it to claim a pool nor ask it.
+     * Marks this VM as about to stop, so that others neither wait for it to claim a pool nor send it requests.
      *
-     * @return the entry to be written, if the VM is registered; a later registration announces it as well
+     * @return the member entry to write, if there is a lease; later registrations carry the mark as well
      */
     Optional<Write> drain() {
         draining = true;
--- a/library/src/main/java/io/radishspindle/pool/runtime/OwnerElection.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/OwnerElection.java
@@ -24,24 +24,24 @@
 import org.tinylog.Logger;
 
 /**
- * Decides when this VM claims a pool. Safety does not depend on it: a claim is one conditional write, and its
- * revision fences earlier owners at every worker. Belongs to one event loop.
+ * Decides when this VM claims a pool. Safety does not depend on it: a claim is one conditional write, and its revision
+ * is the fencing token that makes every worker reject earlier owners. Confined to one event loop.
  */
 final class OwnerElection {
-    /** Head start of a better candidate, in milliseconds: several times a write to the store. */
+    /** Delay per rank among the candidates, in milliseconds: several times the duration of a store write. */
     private static final long RANK_DELAY_MS = 250;
-    /** Wait before the first candidate claims, in milliseconds, so that VMs that start together see each other. */
+    /** Delay before the first candidate claims, in milliseconds; VMs that start together discover each other in it. */
     private static final long FIRST_CLAIM_DELAY_MS = 50;
-    /** Time between pings of an owner by its first stand-by, in milliseconds. */
+    /** Interval of the pings from the first stand-by to the owner, in milliseconds. */
     private static final long PING_INTERVAL_MS = 250;
 
     private static final long PING_TIMEOUT_MS = 500;
-    /** An owner that denies for this long that it owns the pool is replaced; a claim is known to its VM sooner. */
+    /** An owner that denies its ownership for this long is superseded; a new owner knows of its claim sooner. */
     private static final long DENIED_OWNER_TIMEOUT_MS = 200;
-    /** An owner that answers no ping for this long is replaced; shorter pauses occur on a busy VM. */
+    /** An owner that answers no ping for this long is superseded; shorter pauses occur on a busy VM. */
     private static final long UNRESPONSIVE_OWNER_TIMEOUT_MS = 900;
 
-    /** Candidates as they were at a state of the view and of the own claims. */
+    /** Cached ranking of the candidates, with the inputs for which it is valid. */
     private record Candidates(String excluded, long viewVersion, Set<String> ownPools, List<String> order) {}
 
     /** Called when a claim has succeeded. */
@@ -56,10 +56,15 @@
     private final NodeLease lease;
     private final PeerMessenger messenger;
     private final Listener listener;
+    /** Fencing tokens of the owned pools, by pool. */
     private final Map<String, Long> fencingTokens = new HashMap<>();
+    /** Pools whose claim by this VM is in flight. */
     private final Set<String> claiming = new HashSet<>();
+
     private final Map<String, Long> lastPingMs = new HashMap<>();
+    /** Time since which pings have not confirmed the owner of a pool. */
     private final Map<String, Long> unconfirmedSinceMs = new HashMap<>();
+
     private final Map<String, Candidates> lastCandidates = new HashMap<>();
     private boolean closed;
 
@@ -80,22 +85,25 @@
         this.listener = listener;
     }
 
-    /** Stops all claims; owners that have been claimed stay until they are released. */
+    /** Stops claiming; pools that are owned stay so until they are released. */
     void close() {
         closed = true;
     }
 
-    /** The pool was given up or taken away. */
+    /** This VM has released the pool or has been superseded as its owner. */
     void onReleased(String pool) {
         fencingTokens.remove(pool);
     }
 
-    /** Whether this VM owns the pool or may own it: others see a claim before its answer comes from a slow store. */
+    /**
+     * Whether this VM owns the pool or is claiming it. With a slow store, other VMs see a claim before its own VM has
+     * the answer.
+     */
     boolean ownsOrClaims(String pool) {
         return fencingTokens.containsKey(pool) || claiming.contains(pool);
     }
 
-    /** Looks at each pool; called several times a second. */
+    /** Checks each pool; called several times a second. */
     void tick(List<String> pools) {
         if (closed || lease.id() == 0) {
             return;
@@ -119,7 +127,7 @@
         }
         Ownership ownership = owner.get();
         if (ownership.owner().vmId().equals(self.vmId())) {
-            claim(pool, ownership.revision(), "claim of an earlier process or lease");
+            claim(pool, ownership.revision(), "claim of an earlier incarnation or lease");
             return;
         }
         List<String> standBys = candidates(pool, ownership.owner().vmId());
@@ -150,11 +158,11 @@
         unconfirmedSinceMs.remove(pool);
         boolean unchanged = view.owner(pool).map(ownership::equals).orElse(false);
         if (unchanged && !claiming.contains(pool) && !closed) {
-            claim(pool, ownership.revision(), "owner " + ownership.owner().vmId() + " does not answer");
+            claim(pool, ownership.revision(), "owner " + ownership.owner().vmId() + " does not confirm its ownership");
         }
     }
 
-    /** Kept until something changes: sorting hundreds of VMs for each pool at each tick would load every VM. */
+    /** Ranking is cached because sorting hundreds of VMs for each pool at each tick would load every VM. */
     private List<String> candidates(String pool, String excluded) {
         Set<String> ownPools = new HashSet<>(fencingTokens.keySet());
         ownPools.addAll(claiming);
@@ -170,9 +178,9 @@
     }
 
     /**
-     * Live VMs in the order in which they should own a pool: those without a pool first, then those in the region
-     * with the most VMs, where the store and most workers are; strong VMs before weak ones; a hash spreads pools over
-     * equals.
+     * VMs that aren't draining, in order of preference as owner of a pool: VMs without a pool first, then VMs in the
+     * region with the most VMs, where the store and most workers are, then VMs with a higher {@link Member#strength}. A
+     * hash of pool and VM breaks ties, which spreads the pools.
      */
     private List<String> rank(String pool, String excluded, Set<String> ownPools) {
         Map<String, Member> live = view.active();
@@ -219,7 +227,7 @@
     private void onClaimResult(String pool, String reason, Either<Failure, TxnResult> result) {
         claiming.remove(pool);
         if (result.isLeft()) {
-            // The watch shows the claim if it was written after all; the next tick then claims again over it.
+            // If the claim was written after all, the watch shows it, and the next tick replaces it by a new claim.
             Logger.warn(
                     "event=claim-failed pool={} reason=\"{}\" error=\"{}\"",
                     pool,
--- a/library/src/main/java/io/radishspindle/pool/runtime/PauseDetector.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/PauseDetector.java
@@ -3,11 +3,11 @@
 import io.radishspindle.platform.Clock;
 
 /**
- * Finds out that this process did not run for a while: it was stopped or starved, which the steady clock shows, or its
- * machine was suspended, which only the time of day shows. Belongs to one event loop.
+ * Detects that this process did not run for a while: either it was stopped or starved, which the monotonic clock shows,
+ * or its machine was suspended, which only the wall clock shows. Confined to one event loop.
  */
 final class PauseDetector {
-    /** Longest time between two looks that is no pause, in milliseconds; other VMs may claim a pool after 0.9 s. */
+    /** Longest time between two checks that is no pause, in milliseconds; other VMs may claim a pool after 0.9 s. */
     private static final long PAUSE_MS = 1_500;
 
     private final Clock clock;
@@ -20,7 +20,7 @@
         lastWallMs = clock.wallMs();
     }
 
-    /** Milliseconds for which the process did not run since the last look, 0 if it ran; look several times a second. */
+    /** Returns the length of a pause since the last check in milliseconds, or 0; call it several times a second. */
     long check() {
         long nowMs = clock.nowMs();
         long wallMs = clock.wallMs();
--- a/library/src/main/java/io/radishspindle/pool/runtime/PoolNode.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/PoolNode.java
@@ -43,15 +43,16 @@
 import org.tinylog.Logger;
 
 /**
- * One entry VM that accepts jobs for pools and owns some of them. Belongs to the event loop on which it was created.
+ * An entry VM: accepts jobs for all pools and schedules the pools that it owns. Confined to the event loop on which it
+ * was created.
  *
- * <p>Invariant: the version of the configuration in force never goes back.
+ * <p>Invariant: the version of the configuration in force never decreases.
  */
 public final class PoolNode {
     private static final long ELECTION_TICK_MS = 50;
-    /** Pause between watches of the workers, in milliseconds, so that several changes arrive with one call. */
+    /** Pause between watches of the worker entries, in milliseconds; batches several changes into one call. */
     private static final long WORKER_WATCH_PAUSE_MS = 100;
-    /** After this long without an answer of the store the VM reports itself not ready, in milliseconds. */
+    /** The VM reports itself not ready if its last successful configuration read is older than this. */
     private static final long CONFIG_MAX_AGE_MS = 1_800;
 
     private final Vertx vertx;
@@ -80,7 +81,7 @@
     private @Nullable PoolConfig config;
     private boolean draining;
 
-    /** Creates a VM; nothing is connected before {@link #start}. */
+    /** Creates the node without connecting anything; see {@link #start}. */
     public PoolNode(
             Vertx vertx,
             Clock clock,
@@ -98,7 +99,7 @@
         this.metrics = metrics;
         view = new ControlView(clock);
         slices = new PoolSlices(view);
-        // Every VM of the deployment can reach the store, so the key only keeps out stray connections.
+        // Every VM of the deployment can reach the store, so a constant key is enough to reject stray connections.
         messenger =
                 new TcpPeerMessenger(vertx, clock, self.vmId(), self.host(), self.peerPort(), "radishspindle", view);
         store = new RelayedStore(clock, platformStore, messenger, this::otherVms);
@@ -115,7 +116,7 @@
         controlWatch = new PrefixWatch(vertx, clock, store, StoreKeys.CONTROL, 20, view, this::onStoreResult);
     }
 
-    /** Starts to listen and to follow the store. */
+    /** Starts to listen for peers and to watch the store. */
     public Future<Void> start() {
         registerHandlers();
         configWatch.start();
@@ -150,7 +151,7 @@
         metrics.counter(answered ? "store.answers" : "store.failures").inc();
     }
 
-    /** Whether new connections should come to this VM. */
+    /** Whether this VM should receive new connections. */
     public boolean isReady() {
         return !draining && controlWatch.isListed() && hasFreshConfig();
     }
@@ -169,14 +170,14 @@
         return Optional.ofNullable(config);
     }
 
-    /** Hands pools over; submissions and questions are still answered. */
+    /** Releases all owned pools for a planned handover; submissions and queries are still served. */
     public Future<Void> drain() {
         draining = true;
         election.close();
         Optional<Write> entry = lease.drain();
         List<Future<?>> releases = new ArrayList<>();
         owned.forEach((pool, owner) -> {
-            // A stand-by that asks learns at once that the pool is free, also while the store can't be written.
+            // A stand-by that pings sees at once that the pool is free, even if the store is unavailable for writes.
             election.onReleased(pool);
             releases.add(owner.release(entry));
         });
@@ -189,7 +190,7 @@
         return Future.join(releases).mapEmpty();
     }
 
-    /** Ends the lease, so that the other VMs forget this one at once. */
+    /** Ends the lease, which removes this VM's entry from the store at once. */
     public Future<Void> leave() {
         return lease.close();
     }
@@ -248,7 +249,7 @@
         PoolOwner owner =
                 new PoolOwner(vertx, clock, store, control, advice, metrics, pool, fencingToken, this::onSuperseded);
         if (draining) {
-            // The claim was under way when the drain began.
+            // The claim was in flight when the drain began.
             election.onReleased(pool);
             owner.release(Optional.empty());
             return;
@@ -263,7 +264,7 @@
         watchWorkers();
     }
 
-    /** Only an owner needs the workers, so that other VMs save the calls. */
+    /** Watches the worker entries only while this VM owns a pool, to save store calls on all other VMs. */
     private void watchWorkers() {
         PrefixWatch watch = workerWatch;
         if (owned.isEmpty() && watch != null) {
@@ -334,12 +335,12 @@
         return answer(new Done());
     }
 
-    /** Refusal of a VM that has no configuration yet. */
+    /** Failure returned by a VM that has no configuration yet. */
     public static Failure notReady() {
         return Failure.retryable(ErrorCode.NOT_READY, "entry.route", "", "no configuration of the pool yet", 1_000);
     }
 
-    /** The operators' configuration. */
+    /** Applies the operators' configuration. */
     private final class ConfigListener implements PrefixWatch.Listener {
         @Override
         public void onListed(List<Item> items) {
@@ -367,7 +368,7 @@
         }
     }
 
-    /** The workers' own entries. */
+    /** Tracks the entries that workers register in the store. */
     private final class WorkerListener implements PrefixWatch.Listener {
         @Override
         public void onListed(List<Item> items) {
--- a/library/src/main/java/io/radishspindle/pool/runtime/PoolOwner.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/PoolOwner.java
@@ -30,25 +30,25 @@
 import org.tinylog.Logger;
 
 /**
- * Runs one pool while this VM owns it: loads what is stored, fences earlier owners, then schedules. Belongs to one
- * event loop.
+ * Schedules one pool while this VM owns it: loads the stored jobs, fences earlier owners at the workers, then makes
+ * scheduling passes. Confined to one event loop.
  *
- * <p>Invariant: nothing is ordered after the first sign of a newer claim.
+ * <p>Invariant: no order is sent to a worker after the first evidence of a newer claim.
  */
 final class PoolOwner {
     /** Longest time between scheduling passes, in milliseconds. */
     private static final long TICK_MS = 50;
-    /** Pause before a failed load is repeated, in milliseconds. */
+    /** Delay before a failed load is retried, in milliseconds. */
     private static final long LOAD_RETRY_MS = 150;
-    /** The owner hears of most jobs directly; its watch is the second way and may lag. */
+    /** Most jobs are reported to the owner by peer messages, so its watch of the store may lag by this much. */
     private static final long INTAKE_WATCH_PAUSE_MS = 200;
-    /** Ended jobs stay known for this long, in milliseconds: the platform asks for 120 s, and clients repeat late. */
+    /** Retention of ended jobs, in milliseconds: the platform requires 120 s, and clients may retry late. */
     private static final long RETENTION_MS = 180_000;
 
     private static final int MILLI_CORES_PER_CORE = 1_000;
     private static final int REMOVAL_BATCH_JOBS = SharedStore.MAX_TXN_ENTRIES / 3 - 1;
     private static final int REMOVAL_INTERVAL_TICKS = 40;
-    /** The load is logged every two seconds, which keeps the log of an idle owner small. */
+    /** Every two seconds; an owner without unfinished jobs logs no load, which keeps its log small. */
     private static final int LOAD_LOG_INTERVAL_TICKS = 40;
 
     private final Vertx vertx;
@@ -73,7 +73,7 @@
     private long tickTimer = -1;
     private int ticks;
 
-    /** @param onSuperseded told the pool and the reason when a newer claim shows */
+    /** @param onSuperseded called with the pool and the reason once a newer claim is detected */
     PoolOwner(
             Vertx vertx,
             Clock clock,
@@ -107,14 +107,14 @@
                 answered -> {});
     }
 
-    /** Begins with the given workers; jobs follow from the store. */
+    /** Starts polling the given workers and loads the jobs from the store. */
     void start(Collection<WorkerEntry> workers) {
         workers.forEach(this::onWorkerListed);
         sessions.pollNew();
         load();
     }
 
-    /** Gives up the pool without a word to the workers; their leases run on. */
+    /** Stops scheduling the pool without notifying the workers; the leases of their runs stay in force. */
     void close() {
         closed = true;
         sessions.close();
@@ -124,7 +124,7 @@
     }
 
     /**
-     * Stops deciding and removes the claim, so that another VM can claim the pool at once.
+     * Stops scheduling and removes the claim, so that another VM can claim the pool at once.
      *
      * @param entry this VM's entry as a draining VM, which is written together with the removal; empty if there is none
      */
@@ -137,7 +137,7 @@
                         "event=pool-released pool={} token={} outcome=\"{}\"",
                         pool,
                         fencingToken,
-                        result.fold(Failure::message, txn -> txn.applied() ? "removed" : "replaced before")))
+                        result.fold(Failure::message, txn -> txn.applied() ? "removed" : "already superseded")))
                 .mapEmpty();
     }
 
@@ -215,7 +215,7 @@
                 advice.idleChannels(pool));
     }
 
-    /** Decides soon, after everything that has arrived together. */
+    /** Schedules one pass for all events of the current turn of the event loop. */
     private void schedulePass() {
         if (!passScheduled && !closed) {
             passScheduled = true;
@@ -237,7 +237,10 @@
         writer.scheduleWrite();
     }
 
-    /** Another VM may own the pool since a pause; only answers to later holds show that this one still does. */
+    /**
+     * Detects a pause of this process. Another VM may own the pool since then; only answers to holds sent later show
+     * that this one still does.
+     */
     private void checkForPause() {
         long pauseMs = pauseDetector.check();
         if (pauseMs > 0) {
@@ -285,7 +288,7 @@
         metrics.counter("pool.advice.calls").inc();
         advice.advise(pool, request.step(), request.workers(), request.expectedMs())
                 .onSuccess(result -> {
-                    // An occupied VM is no fault; pool-load shows how many steps wait for tickets.
+                    // A busy VM is not a fault; event=pool-load shows how many steps wait for tickets.
                     boolean failed = result.isLeft() && result.getLeft().code() != ErrorCode.OVERLOADED;
                     if (failed && log.allows("advice-failed")) {
                         Logger.info(
@@ -346,7 +349,7 @@
         scheduler.workerUnlisted(workerId);
     }
 
-    /** Phase of a job; empty if this owner can't tell, for example while it loads. */
+    /** Phase of a job; empty if it is unknown to this owner, for example while it loads. */
     Optional<JobPhase> phase(String jobId) {
         return loaded ? scheduler.phase(jobId) : Optional.empty();
     }
@@ -367,7 +370,7 @@
         }
     }
 
-    /** Reports of workers. */
+    /** Reacts to the reports of workers. */
     private final class SessionListener implements WorkerSessions.Listener {
         @Override
         public void beforeReport() {
@@ -385,11 +388,11 @@
         }
     }
 
-    /** Outcomes of progress writes. */
+    /** Reacts to the outcomes of progress writes. */
     private final class ProgressListener implements ProgressWriter.Listener {
         @Override
         public void onDurable() {
-            // The next hold of each worker carries the acknowledgement.
+            // Nothing to do: the next hold of each worker carries the acknowledgement.
         }
 
         @Override
@@ -398,7 +401,7 @@
         }
     }
 
-    /** Jobs and cancellations in the store. */
+    /** Reacts to new jobs and cancellations in the store. */
     private final class IntakeListener implements PrefixWatch.Listener {
         @Override
         public void onListed(List<Item> items) {
