--- a/library/src/main/java/io/radishspindle/pool/runtime/BoundedLog.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/BoundedLog.java
@@ -6,16 +6,16 @@
 import org.tinylog.Logger;
 
 /**
- * Bounds the number of log lines of each event, so that a fault that repeats can't use up the processor. What is left
- * out is counted and reported. Belongs to one event loop.
+ * Rate limiter for log lines, per event name, so that a recurring fault can't use up the processor. Suppressed lines
+ * are counted and reported. Confined to one event loop.
  */
 public final class BoundedLog {
-    /** Lines of one event in a second; about three times the busiest event of a grown deployment. */
+    /** Lines of one event per second; about three times the rate of the most frequent event of a large deployment. */
     private static final int MAX_LINES = 150;
 
     private static final long WINDOW_MS = 1_000;
 
-    /** Lines of one event in its current window. */
+    /** Counts of one event in its current window. */
     private static final class Window {
         long startMs;
         int lines;
@@ -25,12 +25,12 @@
     private final Clock clock;
     private final Map<String, Window> windows = new HashMap<>();
 
-    /** Creates a log without lines. */
+    /** Creates a limiter without counts. */
     public BoundedLog(Clock clock) {
         this.clock = clock;
     }
 
-    /** Whether a line of the event may be written now; otherwise it is counted as left out. */
+    /** Whether a line of the event may be written now; otherwise it is counted as suppressed. */
     public boolean allows(String event) {
         Window window = windows.computeIfAbsent(event, ignored -> new Window());
         long nowMs = clock.nowMs();
--- a/library/src/main/java/io/radishspindle/pool/runtime/ConfigRelay.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/ConfigRelay.java
@@ -26,33 +26,33 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Reads the operators' configuration. In a large region away from the store two strong VMs read it there, in different
- * data centres, and the others ask them, so that a large configuration crosses the link between regions twice instead
- * of once for each VM. Belongs to one event loop.
+ * Reads the operators' configuration. In a large region without the store, two strong VMs of different data centres
+ * act as readers: they read the store, and the other VMs query them. A large configuration thus crosses the link
+ * between regions twice instead of once for each VM. Confined to one event loop.
  *
- * <p>Invariant: a VM passes on the configuration only while its own reads succeed.
+ * <p>Invariant: a reader serves the configuration only while its own reads succeed.
  */
 final class ConfigRelay implements PrefixReader {
     /**
-     * Smaller regions read the store directly: a configuration of 0.5 MB takes 0.1 s for each VM on a link of 42
+     * VMs of smaller regions read the store directly: a configuration of 0.5 MB takes 0.1 s for each VM on a link of 42
      * Mbit/s between regions.
      */
     private static final int MIN_REGION_VMS = 6;
-    /** Wait of one query, in milliseconds; short, as a reader that hangs is only noticed at its end. */
+    /** Wait of one query, in milliseconds; short, as an unresponsive reader is detected only at its end. */
     private static final long QUERY_WAIT_MS = 700;
-    /** Time beyond its wait that an answer may take, in milliseconds: a large configuration on a link of 10 Mbit/s. */
+    /** Time beyond the wait that a reply may take, in milliseconds: a large configuration on a link of 10 Mbit/s. */
     private static final long REPLY_SLACK_MS = 500;
-    /** A reader that has not answered is not asked for this long, in milliseconds; a restart takes 1 to 2 s. */
+    /** An unresponsive reader is not queried for this long, in milliseconds; a restart takes 1 to 2 s. */
     private static final long READER_BACKOFF_MS = 2_000;
     /**
-     * The store is asked directly after this long without a word from a reader, in milliseconds; changes are due
+     * Without a reply of a reader for this long, in milliseconds, the store is read directly; changes must be applied
      * within 4 s.
      */
     private static final long DIRECT_READ_AFTER_MS = 1_500;
     /** Largest configuration that fits a message, in bytes. */
     private static final int MAX_CONFIG_BYTES = 900 * 1024;
 
-    /** Readers should be strong, since they send a large configuration to all others of the region. */
+    /** Order of preference as reader, as a reader sends a large configuration to all other VMs of the region. */
     private static final Comparator<Map.Entry<String, Member>> STRONGEST_FIRST = Comparator.comparingDouble(
                     (Map.Entry<String, Member> vm) -> -vm.getValue().strength())
             .thenComparing(Map.Entry::getKey);
@@ -72,7 +72,7 @@
     private @Nullable Item latest;
     private long lastReplyMs;
 
-    /** @param isFresh whether the configuration has been read lately */
+    /** @param isFresh whether the last successful read of the configuration is recent */
     ConfigRelay(
             Vertx vertx,
             Clock clock,
@@ -117,9 +117,9 @@
     private Future<Either<Failure, Listing>> queryReaders(
             Iterator<String> readers, long afterRevision, Supplier<Future<Either<Failure, Listing>>> directRead) {
         if (!readers.hasNext()) {
-            // All VMs of the region at once would take so long to read a large configuration that none succeeds.
+            // If all VMs of the region read a large configuration at once, it takes so long that none succeeds.
             return clock.nowMs() - lastReplyMs < DIRECT_READ_AFTER_MS
-                    ? Future.succeededFuture(Either.left(unavailable("no reader of the region has answered")))
+                    ? Future.succeededFuture(Either.left(unavailable("no reader of the region has replied")))
                     : directRead.get();
         }
         String reader = readers.next();
@@ -135,7 +135,7 @@
                         return Future.succeededFuture(Either.right(listing(reply.get(), afterRevision)));
                     }
                     if (reply.getLeft().code() == ErrorCode.STORE_UNAVAILABLE) {
-                        // The reader lives and reaches the store through no peer, so that this VM would not either.
+                        // The reader answers but can't reach the store even through peers, so this VM couldn't either.
                         lastReplyMs = clock.nowMs();
                     } else {
                         backOffUntilMs.put(reader, clock.nowMs() + READER_BACKOFF_MS);
@@ -150,7 +150,7 @@
                 : new Listing(List.of(new Item(answer.key(), answer.value(), answer.revision())), answer.revision());
     }
 
-    /** VMs to be asked; empty if this VM reads the store itself. */
+    /** Readers to query; empty if this VM reads the store itself. */
     private List<String> readers() {
         if (self.region().equals(view.homeRegion())) {
             return List.of();
@@ -172,7 +172,7 @@
         return readers.contains(self.vmId()) ? List.of() : readers;
     }
 
-    /** The configuration as this VM has read it last. */
+    /** Stores a configuration that this VM has read and answers the queries that wait for it. */
     void onConfigRead(Item item) {
         Item before = latest;
         if (before != null && before.revision() >= item.revision()) {
@@ -186,11 +186,11 @@
         answered.forEach(pending -> pending.promise().complete(answer(item)));
     }
 
-    /** Answers a VM of the same region, at once or as soon as there is a newer configuration. */
+    /** Answers a VM of the same region as soon as there is a newer configuration, or when its wait ends. */
     Future<Either<Failure, PeerMessage>> serve(QueryConfig query) {
         Item item = latest;
         if (item == null || !isFresh.getAsBoolean()) {
-            return Future.succeededFuture(Either.left(unavailable("the configuration has not been read lately")));
+            return Future.succeededFuture(Either.left(unavailable("this VM has no recent read of the configuration")));
         }
         if (item.revision() > query.afterRevision()) {
             return Future.succeededFuture(answer(item));
--- a/library/src/main/java/io/radishspindle/pool/runtime/PrefixWatch.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/PrefixWatch.java
@@ -13,23 +13,23 @@
 import org.tinylog.Logger;
 
 /**
- * Follows the keys under a prefix: one listing, then watches; a new listing whenever history is missing. Belongs to
- * one event loop.
+ * Watches the keys under a prefix: lists them once, then watches for changes, and lists them again after a failure or
+ * when the store no longer has the history. Confined to one event loop.
  */
 final class PrefixWatch {
     /**
-     * How long one watch waits, in milliseconds. Short, because a connection that has gone silent is only noticed at
-     * its end, and a change has to be in force within 2.5 s.
+     * Wait of one watch, in milliseconds. Short, because an unresponsive connection is detected only at its end, and a
+     * change must be applied within 2.5 s.
      */
     private static final long WATCH_WAIT_MS = 1_500;
 
     private static final long RETRY_MS = 200;
-    /** Watches in a row that may find nothing before the prefix is listed again, against a watch that hears nothing. */
+    /** Empty watches in a row before the prefix is listed again, in case the watch misses changes. */
     private static final int MAX_EMPTY_WATCHES = 8;
 
-    /** Receives what the watch sees. */
+    /** Receives the listings and changes. */
     interface Listener {
-        /** Everything under the prefix; what is absent no longer exists. */
+        /** Receives all items under the prefix; a key that is absent no longer exists. */
         void onListed(List<Item> items);
 
         void onChanged(Item item);
@@ -50,8 +50,8 @@
     private long lastSuccessMs = Long.MIN_VALUE;
 
     /**
-     * @param pauseMs pause between watches in milliseconds, so that several changes arrive with one call
-     * @param onResult told after each call whether the store has answered
+     * @param pauseMs pause after a watch with changes, in milliseconds; batches several changes into one call
+     * @param onResult called after each call with whether it succeeded
      */
     PrefixWatch(
             Vertx vertx,
@@ -74,7 +74,7 @@
         list();
     }
 
-    /** Begins after a listing that the caller has made itself. */
+    /** Starts watching after a listing that the caller has made itself. */
     void startAfter(long listedRevision) {
         revision = listedRevision;
         listed = true;
@@ -85,7 +85,7 @@
         closed = true;
     }
 
-    /** Time of the last answer of the store, on the steady clock. */
+    /** Time of the last successful call, on the monotonic clock. */
     long lastSuccessMs() {
         return lastSuccessMs;
     }
@@ -132,7 +132,7 @@
                 Logger.info("event=watch-history-lost prefix={} revision={}", prefix, revision);
                 list();
             } else {
-                // Changes may have been missed while the store was away; only a listing tells what has gone.
+                // Changes may have been missed while the store was unavailable; only a listing shows removed keys.
                 onFailure(failure, this::list);
             }
             return;
--- a/library/src/main/java/io/radishspindle/pool/runtime/Records.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/Records.java
@@ -17,18 +17,18 @@
             new ObjectMapper(new MessagePackFactory()).disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
 
     /**
-     * A VM as others reach it.
+     * Entry of a VM: its address and properties.
      *
-     * @param strength processors in cores, less where the link is narrow; owners should be strong
-     * @param draining the VM is about to stop; it takes over nothing and is asked for nothing
+     * @param strength capacity to own pools: processor cores, reduced if the network link is slow
+     * @param draining the VM is about to stop; it claims no pools and gets no requests
      */
     record Member(
             String host, int port, String dataCentre, String region, String boot, double strength, boolean draining) {}
 
-    /** The VM that owns a pool, with the boot that claimed it. */
+    /** The VM that owns a pool; {@code boot} identifies the incarnation that claimed it. */
     record Owner(String vmId, String boot) {}
 
-    /** Takes the place of a job that has ended, so that a new owner reads little of what is over. */
+    /** Replaces the item of a job that has ended, so that a new owner has little to read for it. */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record EndedJob(JobPhase phase) {}
 
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Whether the value of a job's key stands for a job that has ended; open jobs are encoded as maps. */
+    /** Whether the value of a job's key is an {@link EndedJob}; unfinished jobs are encoded as maps, not arrays. */
     static boolean isEndedJob(byte[] value) {
         return value.length > 0 && MessagePack.Code.isFixedArray(value[0]);
     }
--- a/library/src/main/java/io/radishspindle/pool/runtime/RelayedStore.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/RelayedStore.java
@@ -22,37 +22,37 @@
 import org.tinylog.Logger;
 
 /**
- * The shared store as a VM reaches it: directly, or through another VM while the store turns this one away. Belongs
- * to one event loop.
+ * Client of the shared store that calls it directly, or through another VM while the store rejects or does not answer
+ * this one. Confined to one event loop.
  *
- * <p>Invariant: a call is repeated through another VM only if it surely had no effect; callers settle open outcomes
- * themselves. Watches and the creation of leases always go directly.
+ * <p>Invariant: a write is retried through another VM only if it surely had no effect; callers resolve unknown outcomes
+ * themselves. Leases are always created and ended directly.
  */
 final class RelayedStore implements SharedStore {
-    /** Limit of a relayed call, in milliseconds: a call to the store and a round trip between regions. */
+    /** Timeout of a relayed call, in milliseconds: a store call and a round trip between regions. */
     private static final long RELAY_TIMEOUT_MS = 1_300;
-    /** Wait of a relayed watch, in milliseconds; with a slow store it still ends within the limit above. */
+    /** Wait of a relayed watch, in milliseconds; with a slow store it still ends within the timeout above. */
     private static final long RELAYED_WAIT_MS = 700;
-    /** A call that waits longer than this counts as unanswered, in milliseconds; a slow store takes up to 400 ms. */
+    /** A call pending for longer than this marks the store as unavailable; a slow store takes up to 400 ms. */
     private static final long UNANSWERED_CALL_MS = 600;
-    /** Bounds of what callers are told to wait, in milliseconds; they repeat a request up to four times. */
+    /** Bounds of the retry delay reported to callers, in milliseconds; they retry a request up to four times. */
     private static final long MIN_RETRY_AFTER_MS = 1_000;
 
     private static final long MAX_RETRY_AFTER_MS = 3_000;
-    /** Pause between probes of the direct path while it is down, in milliseconds; callers are refused meanwhile. */
+    /** Interval of probes while the direct path is down, in milliseconds; callers are rejected meanwhile. */
     private static final long PROBE_INTERVAL_MS = 150;
-    /** Limit of a probe, in milliseconds; a slow store takes up to 400 ms. */
+    /** Timeout of a probe, in milliseconds; a slow store takes up to 400 ms. */
     private static final long PROBE_TIMEOUT_MS = 500;
-    /** A peer that has not answered is not asked for this long, in milliseconds; a restart takes 1 to 2 s. */
+    /** An unresponsive peer gets no calls for this long, in milliseconds; a restart takes 1 to 2 s. */
     private static final long PEER_BACKOFF_MS = 2_000;
-    /** Peers that are asked for one call. */
+    /** Peers that are tried for one call. */
     private static final int MAX_PEERS = 2;
 
     private final Clock clock;
     private final SharedStore direct;
     private final PeerMessenger messenger;
     private final Supplier<List<String>> peers;
-    /** Start times of direct calls that wait for an answer, in the order in which they were made. */
+    /** Start times of the direct calls in flight, oldest first. */
     private final Map<Long, Long> outstanding = new LinkedHashMap<>();
 
     private final Map<String, Long> backOffUntilMs = new HashMap<>();
@@ -73,7 +73,7 @@
         this.peers = peers;
     }
 
-    /** Whether the last direct call got no useful answer, or one has waited so long that the store must be unresponsive. */
+    /** Whether the last direct call failed or the oldest one in flight is overdue. */
     boolean isDirectPathDown() {
         if (lastFailureMs > lastSuccessMs) {
             return true;
@@ -86,7 +86,7 @@
         return lastSuccessMs < sinceMs && clock.nowMs() - sinceMs > UNANSWERED_CALL_MS;
     }
 
-    /** Called several times a second; finds out soon when the direct path is back. */
+    /** Probes the direct path while it is down, to detect its return soon; called several times a second. */
     void tick() {
         long nowMs = clock.nowMs();
         if (isDirectPathDown() && nowMs - lastProbeMs >= PROBE_INTERVAL_MS) {
@@ -101,7 +101,7 @@
     }
 
     /**
-     * When a caller that is refused now should come back, in milliseconds: an outage that has lasted for some time is
+     * Retry delay for a caller that is rejected now, in milliseconds: an outage that has lasted for some time is
      * expected to last as long again.
      */
     long retryAfterMs() {
@@ -137,7 +137,11 @@
 
     private static Failure unavailable(String operation) {
         return Failure.retryable(
-                ErrorCode.STORE_UNAVAILABLE, "store." + operation, "store", "store is away", MIN_RETRY_AFTER_MS);
+                ErrorCode.STORE_UNAVAILABLE,
+                "store." + operation,
+                "store",
+                "the store is unavailable",
+                MIN_RETRY_AFTER_MS);
     }
 
     private static Listing listing(StoreRelayed reply) {
@@ -164,7 +168,7 @@
         return direct.createLease(ttlMs).onSuccess(result -> observe(result, sentAtMs));
     }
 
-    /** Tries the direct path first, so that it also finds out when that is back. */
+    /** Tries the direct path first, which also detects when that works again. */
     @Override
     public Future<Either<Failure, Long>> renewLease(long lease) {
         RelayStore relay = new RelayStore("renew", "", lease, Map.of(), List.of(), List.of());
@@ -225,7 +229,7 @@
                         : Future.succeededFuture(reply));
     }
 
-    /** The next peer in turn that has answered lately, or else the next one. */
+    /** Next peer in round-robin order that is not backed off, or the next one if all are. */
     private String nextPeer(List<String> candidates) {
         for (int i = 0; i < candidates.size(); i++) {
             String peer = candidates.get(Math.floorMod(rotation++, candidates.size()));
@@ -253,7 +257,7 @@
                 || failure.code() == ErrorCode.OVERLOADED;
     }
 
-    /** A failure says nothing of the present if a call that was sent later has succeeded since. */
+    /** Ignores a failure as outdated if another call has succeeded since the failed call was sent. */
     private void observe(Either<Failure, ?> result, long sentAtMs) {
         boolean failed = result.isLeft()
                 && (result.getLeft().code() == ErrorCode.STORE_UNAVAILABLE
@@ -270,11 +274,15 @@
         }
     }
 
-    /** Makes a relayed call for another VM; never relays further. */
+    /** Executes a call for another VM, directly only: it is never relayed further. */
     Future<Either<Failure, StoreRelayed>> serve(RelayStore message) {
         if (isDirectPathDown()) {
             return Future.succeededFuture(Either.left(Failure.retryable(
-                    ErrorCode.STORE_UNAVAILABLE, "store.relay", "store", "store is away here, too", 1_000)));
+                    ErrorCode.STORE_UNAVAILABLE,
+                    "store.relay",
+                    "store",
+                    "the store is unavailable to this VM as well",
+                    1_000)));
         }
         return switch (message.operation()) {
             case "get" ->
--- a/library/src/main/java/io/radishspindle/pool/runtime/StoreKeys.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/StoreKeys.java
@@ -3,7 +3,7 @@
 /** Layout of the keys that the entry VMs keep in the shared store. Stateless; thread-safe. */
 final class StoreKeys {
     private static final String ROOT = "radishspindle/";
-    /** Members and owners, which every VM watches. */
+    /** Prefix of the members, owners and slice counts, which every VM watches. */
     static final String CONTROL = ROOT + "control/";
 
     private static final String MEMBERS = CONTROL + "members/";
@@ -36,7 +36,7 @@
         return key.substring(OWNERS.length());
     }
 
-    /** Number of slices of a pool; written once. */
+    /** Key of the number of slices of a pool, which is written once. */
     static String slices(String pool) {
         return SLICES + pool;
     }
@@ -49,7 +49,7 @@
         return key.substring(SLICES.length());
     }
 
-    /** Jobs and cancellations of a pool, which its owner watches. */
+    /** Prefix of the jobs and cancellations of a pool, which its owner watches. */
     static String intake(String pool) {
         return ROOT + "intake/" + pool + "/";
     }
@@ -70,7 +70,7 @@
         return key.substring(key.lastIndexOf('/') + 1);
     }
 
-    /** Progress of a pool's jobs, written by its owner only. */
+    /** Prefix of the progress of a pool's jobs, written by its owner only. */
     static String allProgress(String pool) {
         return ROOT + "progress/" + pool + "/";
     }
