--- a/library/src/main/java/io/radishspindle/pool/runtime/JobDirectory.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/JobDirectory.java
@@ -23,19 +23,19 @@
 import java.util.Optional;
 
 /**
- * Answers questions about jobs and cancels them: from the owner of the pool, or from the store if the owner can't
- * tell. Belongs to one event loop.
+ * Queries and cancels jobs. Queries go to the owner of the pool, and to the store if the owner does not know. Confined
+ * to one event loop.
  *
  * <p>Invariant: a job is reported as unknown only after a linearizable read has not found it.
  */
 final class JobDirectory {
-    /** How long the owner may take before the store is asked instead, in milliseconds. */
+    /** Timeout of a query to the owner, in milliseconds; the store is read afterwards. */
     private static final long OWNER_TIMEOUT_MS = 500;
 
     private static final long RETRY_AFTER_MS = 1_000;
     private static final byte[] CANCELLED = {1};
     private static final byte[] CANCELLED_JOB = Records.encode(new Records.EndedJob(JobPhase.CANCELLED));
-    /** Each change of a job's item costs a cancellation one try; an item changes twice at most. */
+    /** Each change of a job's item fails one attempt to cancel the job; an item changes twice at most. */
     private static final int MAX_CANCEL_ATTEMPTS = 3;
 
     private final SharedStore store;
@@ -79,7 +79,7 @@
                 });
     }
 
-    /** Empty if the owner can't tell, or uses a word of another release. */
+    /** Empty if the owner does not know, or sends a phase that only another release has. */
     private static Optional<JobPhase> phaseOf(PoolJobState state) {
         return Arrays.stream(JobPhase.values())
                 .filter(phase -> phase.name().equals(state.phase()))
@@ -122,7 +122,7 @@
         return Optional.of(cancelled ? JobPhase.CANCELLED : saved.orElse(JobPhase.QUEUED));
     }
 
-    /** Number of jobs of a queue without a started task, as the owner or its last answer tells it. */
+    /** Number of jobs of a queue without a started task, from the owner or else from its last answer. */
     Future<Either<Failure, Integer>> pending(String pool, String queue) {
         PoolOwner local = owned.get(pool);
         if (local != null) {
--- a/library/src/main/java/io/radishspindle/pool/runtime/JobIntake.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/JobIntake.java
@@ -26,24 +26,24 @@
 import java.util.function.LongSupplier;
 
 /**
- * Stores submissions, several in one conditional write. Any VM does so without the owner of the pool. Belongs to one
- * event loop.
+ * Stores submitted jobs, several in one conditional write. Any VM can do so without the owner of the pool. Confined to
+ * one event loop.
  *
- * <p>Invariants: a submission succeeds only after its job is stored; it is refused as not run only if no write of it
- * can still take effect; a repeated id is the same job.
+ * <p>Invariants: a submission succeeds only after its job is stored; it fails as not run only if no write of it can
+ * still take effect; submissions with the same id are the same job.
  */
 final class JobIntake {
     /** Jobs in one transaction; each takes a condition and a write. */
     private static final int MAX_BATCH_JOBS = SharedStore.MAX_TXN_ENTRIES / 2;
-    /** Transactions under way at once, so that one slow call doesn't hold up all submissions. */
+    /** Transactions in flight at once; more than one, so that a slow call doesn't block all submissions. */
     private static final int MAX_IN_FLIGHT = 3;
-    /** Pause before a write with an unknown outcome is repeated, in milliseconds. */
+    /** Delay before a write with an unknown outcome is retried, in milliseconds. */
     private static final long RETRY_DELAY_MS = 60;
 
-    /** Submissions that may wait; more are refused at once. */
+    /** Submissions that may wait for the store; more are rejected at once. */
     private static final int MAX_WAITING = 400;
 
-    /** A submission that waits for its answer. */
+    /** A submission without an outcome. */
     private static final class Pending {
         final PoolJob job;
         final String key;
@@ -72,9 +72,9 @@
     private boolean scheduled;
 
     /**
-     * @param onStored told of each job that this VM has stored
-     * @param storeUnavailable whether the store is known not to answer, so that it is no use to wait for it
-     * @param retryAfterMs when a refused caller should come back, in milliseconds
+     * @param onStored called with each job that this VM has stored
+     * @param storeUnavailable whether the store is known to be unavailable, so that waiting for it is useless
+     * @param retryAfterMs retry delay for a rejected caller, in milliseconds
      */
     JobIntake(
             Vertx vertx,
@@ -91,7 +91,10 @@
         this.retryAfterMs = retryAfterMs;
     }
 
-    /** Stores a job. A failure with {@code notRun} false means that the outcome stayed unknown until the deadline. */
+    /**
+     * Stores a job. A failure with {@code notRun} false means that the outcome is unknown: the deadline has passed or
+     * the store is unavailable.
+     */
     Future<Either<Failure, PoolJob>> submit(PoolJob job, long deadlineMs) {
         if (waiting.size() >= MAX_WAITING) {
             return Future.succeededFuture(Either.left(rejection("too many submissions wait for the store")));
@@ -155,7 +158,7 @@
         }
     }
 
-    /** Some ids exist already: those are the same jobs; the others are written again. */
+    /** Some ids exist already: those submissions succeed as the same jobs; the others are written again. */
     private void onConflict(List<Pending> batch, TxnResult result) {
         Set<String> existing = new HashSet<>();
         result.current().stream().filter(Item::exists).forEach(item -> existing.add(item.key()));
@@ -176,7 +179,7 @@
         if (!pending.outcomeUnknown) {
             pending.promise.complete(Either.left(rejection(failure.message())));
         } else if (clock.nowMs() >= pending.deadlineMs || storeUnavailable.getAsBoolean()) {
-            // The caller repeats the request at another VM, which settles the outcome.
+            // The caller retries the request at another VM, which resolves the outcome.
             pending.promise.complete(
                     Either.left(Failure.unknown("job.store", failure.peer(), "outcome unknown: " + failure.message())));
         } else {
--- a/library/src/main/java/io/radishspindle/pool/runtime/ProgressWriter.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/ProgressWriter.java
@@ -22,29 +22,29 @@
 import org.tinylog.Logger;
 
 /**
- * Writes the progress of a pool's jobs while this VM owns the pool. Belongs to one event loop.
+ * Writes the progress of a pool's jobs to the store while this VM owns the pool. Confined to one event loop.
  *
- * <p>Invariants: every write expects the owner's claim at its revision, so that a replaced owner writes nothing; a job
- * is in one write at a time, and each write expects the keys as the last one left them, so that a write without an
- * answer that is carried out late can't undo a newer one.
+ * <p>Invariants: every write is conditional on the revision of the owner's claim, so that a superseded owner writes
+ * nothing; a job is in one write at a time, and each write is conditional on the revisions that the last one left, so
+ * that a write with a lost answer that is executed late can't undo a newer one.
  */
 final class ProgressWriter {
-    /** One entry of a transaction is the condition on the claim; each job takes a condition and up to two writes. */
+    /** One transaction entry is the condition on the claim; each job takes a condition and up to two writes. */
     private static final int MAX_BATCH_JOBS = (SharedStore.MAX_TXN_ENTRIES - 1) / 3;
-    /** Writes under way at once, so that a store that takes 400 ms an answer keeps up with 100 jobs a second. */
+    /** Writes in flight at once; four keep up with 100 jobs a second if the store takes 400 ms per call. */
     private static final int MAX_IN_FLIGHT = 4;
-    /** Coalesces the progress of many jobs into one call; short, since callers wait for the end of their job. */
+    /** Delay that batches the ends of many jobs into one write; short, as callers wait for the end of their job. */
     private static final long FINAL_WRITE_DELAY_MS = 15;
 
     private static final long WRITE_DELAY_MS = 60;
     private static final long RETRY_MS = 150;
 
-    /** What the writer tells its owner. */
+    /** Receives the outcomes of writes. */
     interface Listener {
         /** A batch is durable. */
         void onDurable();
 
-        /** The claim is no longer in force. */
+        /** The claim of this VM has been replaced. */
         void onSuperseded(String reason);
     }
 
@@ -55,10 +55,10 @@
     private final long claimRevision;
     private final PoolScheduler scheduler;
     private final Listener listener;
-    /** Revision of each job's progress in the store; absent for a key that does not exist. */
+    /** Revision of each job's progress in the store, by key; absent if the key does not exist. */
     private final Map<String, Long> revisions = new HashMap<>();
 
-    /** Jobs in the writes under way. */
+    /** Ids of the jobs in the writes in flight. */
     private final Set<String> inFlightJobs = new HashSet<>();
 
     private int writesInFlight;
@@ -83,7 +83,7 @@
         this.listener = listener;
     }
 
-    /** Notes the progress that was found in the store when the pool was loaded. */
+    /** Records the revisions of the progress that was found in the store when the pool was loaded. */
     void onLoaded(List<Item> items) {
         items.forEach(item -> revisions.put(item.key(), item.revision()));
     }
@@ -93,7 +93,7 @@
         vertx.cancelTimer(timer);
     }
 
-    /** Arranges a write if progress waits for one. */
+    /** Schedules a write if there is progress to write or an end to acknowledge. */
     void scheduleWrite() {
         if (closed || writesInFlight >= MAX_IN_FLIGHT) {
             return;
@@ -169,7 +169,7 @@
         }
     }
 
-    /** Either the claim has been replaced, or an earlier write without an answer was carried out after all. */
+    /** Either the claim has been replaced, or an earlier write whose answer was lost was executed after all. */
     private void onConflict(List<Item> current) {
         boolean claimInForce = false;
         for (Item item : current) {
@@ -182,7 +182,7 @@
         if (claimInForce) {
             schedule(WRITE_DELAY_MS);
         } else {
-            listener.onSuperseded("progress was not accepted: the claim has been replaced");
+            listener.onSuperseded("progress write rejected: the claim has been replaced");
         }
     }
 
--- a/library/src/main/java/io/radishspindle/pool/runtime/StoredJobs.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/StoredJobs.java
@@ -15,11 +15,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What the store holds of a pool when its owner changes. Not thread-safe.
+ * The stored jobs of a pool, as a new owner loads them. Not thread-safe.
  *
- * <p>Invariants: a final phase in the progress of a job stands whatever else is stored of it; an item that stands for
- * an ended job without such progress was left by a cancellation. Jobs that have ended are not decoded, which saves most
- * of the time of a cold start.
+ * <p>Invariants: a final phase in the progress of a job overrides whatever else is stored of it; an {@link
+ * Records.EndedJob} without such progress was written by a cancellation. Jobs that have ended are not decoded, which
+ * saves most of the time of a cold start.
  */
 final class StoredJobs {
     private final List<Item> jobs = new ArrayList<>();
@@ -27,7 +27,7 @@
     private final Map<String, JobProgress> progress = new HashMap<>();
 
     /**
-     * Takes over two listings that were made after the claim.
+     * Combines two listings that were made after the claim.
      *
      * @param intake jobs and cancellations of the pool
      * @param progress progress of its jobs
@@ -44,7 +44,7 @@
                 .ifPresent(value -> this.progress.put(StoreKeys.lastPart(item.key()), value)));
     }
 
-    /** Loads all jobs into the scheduler of a new owner; yields their number. */
+    /** Loads all jobs into the scheduler of a new owner; returns their number. */
     int loadInto(PoolScheduler scheduler, long wallMs) {
         for (Item item : jobs) {
             String id = StoreKeys.lastPart(item.key());
@@ -60,7 +60,7 @@
         return jobs.size();
     }
 
-    /** The job of an item; empty if it has ended, has been removed or can't be read, which is logged. */
+    /** The job of an item; empty if it has ended, was removed or can't be decoded, which is logged. */
     static Optional<PoolJob> unfinishedJob(Item item) {
         return isEnded(item) ? Optional.empty() : decode(item, PoolJob.class);
     }
