--- a/library/src/main/java/io/radishspindle/pool/runtime/AdviceChannel.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/AdviceChannel.java
@@ -10,15 +10,15 @@
 import java.util.List;
 
 /**
- * The calls for advice of one VM. The service handles one call at a time for each VM, so that an owner whose call would
- * wait here is told so at once and asks through another VM. Belongs to one event loop.
+ * Calls of one VM to the advice service. The service handles one call at a time per VM, so a second call is rejected at
+ * once and its owner retries through another VM. Confined to one event loop.
  *
- * <p>Invariant: at most one call of this VM is at the service.
+ * <p>Invariant: at most one call of this VM to the service is in flight.
  */
 final class AdviceChannel {
-    /** Added to the expected duration before a call counts as failed, in milliseconds. */
+    /** Added to the expected duration of a call to get its timeout, in milliseconds. */
     private static final long TIMEOUT_SLACK_MS = 700;
-    /** Least time after which a busy channel is asked again, in milliseconds. */
+    /** Minimum retry delay reported while the channel is busy, in milliseconds. */
     private static final long MIN_RETRY_AFTER_MS = 5;
 
     private final Clock clock;
@@ -31,18 +31,22 @@
         this.service = service;
     }
 
-    /** Limit of a call in milliseconds. */
+    /** Timeout of a call, in milliseconds. */
     static long timeoutMs(long expectedMs) {
         return expectedMs + TIMEOUT_SLACK_MS;
     }
 
-    /** Asks the service; {@link ErrorCode#OVERLOADED} with the time to wait while another call is there. */
+    /** Calls the service; fails with {@link ErrorCode#OVERLOADED} and a retry delay while another call is in flight. */
     Future<Either<Failure, Advice>> advise(String step, List<String> workers, long expectedMs) {
         long nowMs = clock.nowMs();
         if (busy) {
             long waitMs = Math.max(MIN_RETRY_AFTER_MS, freeAtMs - nowMs);
             return Future.succeededFuture(Either.left(Failure.retryable(
-                    ErrorCode.OVERLOADED, "advice.call", "", "another call for advice is in progress", waitMs)));
+                    ErrorCode.OVERLOADED,
+                    "advice.call",
+                    "",
+                    "another call to the advice service is in flight",
+                    waitMs)));
         }
         busy = true;
         freeAtMs = nowMs + expectedMs;
--- a/library/src/main/java/io/radishspindle/pool/runtime/AdviceDispatcher.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/AdviceDispatcher.java
@@ -18,23 +18,24 @@
 import java.util.function.Supplier;
 
 /**
- * Spreads an owner's calls for advice over all VMs, because the service handles one call at a time for each calling VM.
- * The VMs are shared out among the pools, so that the long calls of one pool don't hold up the short calls of another.
- * Belongs to one event loop.
+ * Distributes an owner's calls to the advice service over all VMs, because the service handles one call at a time per
+ * calling VM. The VMs are divided among the pools, so that long calls of one pool don't delay short calls of another.
+ * Confined to one event loop.
  *
- * <p>Invariants: an owner has at most one call at a VM; long calls leave half of the VMs of other pools alone.
+ * <p>Invariants: an owner has at most one call in flight through each VM; its long calls use at most half of the VMs of
+ * other pools.
  */
 final class AdviceDispatcher {
-    /** A VM whose call has failed is not asked for this long, in milliseconds; a restart takes one to two seconds. */
+    /** A VM whose call has failed is not used for this long, in milliseconds; a restart takes one to two seconds. */
     private static final long VM_BACKOFF_MS = 1_000;
-    /** Calls that are expected to take longer, in milliseconds, would hold up others noticeably. */
+    /** A call that is expected to take longer than this is long: it would delay others noticeably. */
     private static final long LONG_CALL_MS = 100;
-    /** A pool without a short call for this long, in milliseconds, keeps no VM free for one. */
+    /** A pool reserves a VM for short calls until this long after its last one, in milliseconds. */
     private static final long SHORT_CALL_RESERVE_MS = 10_000;
-    /** VMs tried for one call before the owner plans anew. */
+    /** VMs tried for one call before it fails and the owner plans again. */
     private static final int MAX_ATTEMPTS = 3;
 
-    /** Calls of this VM by the VM through which they go. */
+    /** A call in flight. */
     private record Call(String pool, boolean isLong) {}
 
     private final AdviceChannel local;
@@ -43,11 +44,13 @@
     private final ControlView view;
     private final Supplier<List<String>> pools;
     private final Clock clock;
+    /** Calls of this VM in flight, by the VM through which they go. */
     private final Map<String, Call> calls = new HashMap<>();
+
     private final Map<String, Long> backOffUntilMs = new HashMap<>();
     private final Map<String, Long> lastShortCallMs = new HashMap<>();
 
-    /** @param pools names of all pools, in an order on which all VMs agree */
+    /** @param pools names of all pools, in the same order on all VMs */
     AdviceDispatcher(
             Clock clock,
             AdviceChannel local,
@@ -63,7 +66,7 @@
         this.pools = pools;
     }
 
-    /** VMs through which a pool may call, split by whose they are. */
+    /** VMs through which a pool may call, divided into its own and those of other pools. */
     private final class Share {
         final List<String> own = new ArrayList<>();
         final List<String> others = new ArrayList<>();
@@ -88,7 +91,7 @@
                     .toList();
         }
 
-        /** Own VMs that may take a long call now. */
+        /** Number of own VMs that may take a long call now. */
         int ownLongCapacity() {
             Long shortCallMs = lastShortCallMs.get(pool);
             boolean reservesOne =
@@ -96,6 +99,7 @@
             return Math.max(0, idle(own).size() - (reservesOne ? 1 : 0));
         }
 
+        /** Number of VMs of other pools that may take a long call now. */
         int otherLongCapacity() {
             long used = others.stream()
                     .filter(vm -> calls.containsKey(vm) && calls.get(vm).isLong())
@@ -103,7 +107,7 @@
             return (int) Math.max(0, Math.min(idle(others).size(), others.size() / 2 - used));
         }
 
-        /** VM for a call; empty if none is free for it. */
+        /** VM for a call; empty if none is available. */
         String choose(boolean isLong) {
             List<String> idleOwn = selfLast(idle(own));
             if (!idleOwn.isEmpty() && (!isLong || ownLongCapacity() > 0)) {
@@ -114,7 +118,7 @@
         }
     }
 
-    /** What the owner of a pool may call now. */
+    /** Channels that the owner of a pool may use now. */
     AdviceChannels channels(String pool) {
         Share share = new Share(pool);
         int idle = share.idle(share.own).size() + share.idle(share.others).size();
@@ -122,7 +126,7 @@
         return new ChannelBudget(idle, share.ownLongCapacity() + share.otherLongCapacity(), plentiful);
     }
 
-    /** Channels that one pass may use. */
+    /** Budget of channels for one scheduling pass. */
     private static final class ChannelBudget implements AdviceChannels {
         private int idle;
         private int longCapacity;
@@ -151,7 +155,7 @@
         }
     }
 
-    /** Number of VMs without a call from here. */
+    /** Number of VMs that are neither backed off nor executing a call for this VM. */
     int idleChannels(String pool) {
         Share share = new Share(pool);
         return share.idle(share.own).size() + share.idle(share.others).size();
@@ -167,7 +171,11 @@
         String vm = new Share(pool).choose(isLong);
         if (vm.isEmpty()) {
             return Future.succeededFuture(Either.left(Failure.retryable(
-                    ErrorCode.OVERLOADED, "advice.call", "", "no VM is free for a call for advice", 0)));
+                    ErrorCode.OVERLOADED,
+                    "advice.call",
+                    "",
+                    "no VM is available for a call to the advice service",
+                    0)));
         }
         if (!isLong) {
             lastShortCallMs.put(pool, clock.nowMs());
@@ -197,7 +205,7 @@
                 .map(reply -> reply.map(given -> new Advice(given.tickets(), given.validMs())));
     }
 
-    /** Sorted, so that all VMs share them out alike. */
+    /** All VMs, sorted, so that every VM divides them among the pools in the same way. */
     private List<String> vms() {
         Set<String> live = view.active().keySet();
         List<String> all = new ArrayList<>(live);
@@ -208,7 +216,7 @@
         return all;
     }
 
-    /** The VM of an owner has work enough, so that it is chosen last. */
+    /** Moves this VM to the end, as its ownership already loads it. */
     private List<String> selfLast(List<String> vms) {
         List<String> sorted = new ArrayList<>(vms);
         if (sorted.remove(self.vmId())) {
--- a/library/src/main/java/io/radishspindle/pool/runtime/PoolSlices.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/PoolSlices.java
@@ -8,16 +8,16 @@
 import java.util.Optional;
 
 /**
- * Divides large pools into slices, each of which has its own owner, keys and workers. A pool with one slice keeps its
- * name. Belongs to one event loop.
+ * Divides large pools into slices (shards), each with its own owner, keys and workers. A pool with one slice keeps its
+ * name. Confined to one event loop.
  *
  * <p>Invariants: every job and every worker belongs to one slice; the number of slices of a pool never changes, so
- * that all VMs look for a job in the same slice; the workers of a rack share a slice, since gangs may need one rack.
+ * that all VMs find a job in the same slice; the workers of a rack share a slice, as gangs may have to run in one rack.
  */
 final class PoolSlices {
     /**
-     * Workers that one owner orders without loss of service: sweeps of hanji-bindery-grown lose little with 216
-     * workers in the largest pool, and 0.07 of the worth with 720.
+     * Workers that one owner can schedule without losing service: on the deployment hanji-bindery-grown, little of the
+     * jobs' value is lost with 216 workers in the largest pool, and 0.07 of it with 720.
      */
     private static final int WORKERS_PER_SLICE = 300;
 
@@ -32,7 +32,7 @@
         return Math.max(1, (workers + WORKERS_PER_SLICE / 2) / WORKERS_PER_SLICE);
     }
 
-    /** Slices of a pool, in an order on which all VMs agree; empty while their number is unknown. */
+    /** Slices of a pool, in the same order on all VMs; empty while their number is unknown. */
     List<String> of(String pool) {
         int count = view.sliceCount(pool).orElse(0);
         List<String> names = new ArrayList<>();
@@ -52,7 +52,7 @@
         return slice(pool, jobId);
     }
 
-    /** The job as its slice keeps it; empty while the number of slices is unknown. */
+    /** The job, assigned to its slice; empty while the number of slices is unknown. */
     Optional<PoolJob> assign(PoolJob job) {
         return ofJob(job.pool(), job.id()).map(job::inPool);
     }
--- a/library/src/main/java/io/radishspindle/pool/runtime/SliceSizing.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/SliceSizing.java
@@ -17,22 +17,22 @@
 import org.tinylog.Logger;
 
 /**
- * Decides the number of slices of each new pool by its registered workers, once their number has settled: on the first
- * day of a deployment VMs and workers start together. Any VM may do so; the first conditional write counts. Belongs to
- * one event loop.
+ * Decides the number of slices of each new pool from the number of its registered workers, once that is stable: when a
+ * deployment is first started, VMs and workers start together. Any VM may decide; the first conditional write wins.
+ * Confined to one event loop.
  */
 final class SliceSizing {
-    /** Wait before the first VM decides, in milliseconds, so that VMs that start together see each other. */
+    /** Delay before the first VM decides, in milliseconds, so that VMs that start together discover each other. */
     private static final long FIRST_DECISION_DELAY_MS = 50;
-    /** Head start of each VM over the next one, in milliseconds; a decision is rare and may wait for a second VM. */
+    /** Delay per rank among the VMs, in milliseconds; long, as a decision is rare and may wait for a second VM. */
     private static final long RANK_DELAY_MS = 1_000;
-    /** The number of workers has settled when it has stayed the same for this long, in milliseconds. */
+    /** The number of workers is stable once it has not changed for this long, in milliseconds. */
     private static final long STABLE_MS = 800;
-    /** Longest wait for workers to register, in milliseconds; on hanji-bindery-grown they take 6 s. */
+    /** Longest wait for workers to register, in milliseconds; on the deployment hanji-bindery-grown they take 6 s. */
     private static final long MAX_WAIT_MS = 10_000;
-    /** Pause before a failed call is repeated, in milliseconds. */
+    /** Delay before a failed call is retried, in milliseconds. */
     private static final long RETRY_MS = 250;
-    /** Each pool takes a condition and a write. */
+    /** Each pool takes a condition and a write of the transaction. */
     private static final int MAX_BATCH_POOLS = SharedStore.MAX_TXN_ENTRIES / 2;
 
     private final Clock clock;
@@ -53,7 +53,7 @@
         this.self = self;
     }
 
-    /** Looks for pools without a number of slices; called several times a second. */
+    /** Checks for pools without a number of slices; called several times a second. */
     void tick(List<String> pools) {
         List<String> unsized = pools.stream()
                 .filter(pool -> view.sliceCount(pool).isEmpty())
@@ -75,7 +75,7 @@
         }
     }
 
-    /** Decides by the workers that are registered now, since requests arrive for a pool that has no number yet. */
+    /** Decides from the workers that are registered now, as requests arrive for a pool without a number of slices. */
     void expedite() {
         decideByMs = clock.nowMs();
         if (notBeforeMs != Long.MAX_VALUE) {
@@ -99,7 +99,7 @@
         notBeforeMs = Math.min(clock.nowMs() + STABLE_MS, decideByMs);
     }
 
-    /** Registered workers of those pools that have any. */
+    /** Number of registered workers by pool; absent for a pool without any. */
     private Map<String, Integer> count(List<String> pools, List<Item> items) {
         Map<String, Integer> workers = new HashMap<>();
         for (Item item : items) {
@@ -147,7 +147,7 @@
                 view.sliceCount(pool).orElse(0)));
     }
 
-    /** The write may have been carried out; the next try then finds it. */
+    /** Schedules a retry. If the write was executed after all, the retry finds its result. */
     private void onFailure(List<String> pools, Failure failure) {
         busy = false;
         notBeforeMs = clock.nowMs() + RETRY_MS;
--- a/library/src/main/java/io/radishspindle/pool/runtime/WorkerSessions.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/WorkerSessions.java
@@ -22,19 +22,19 @@
 import org.tinylog.Logger;
 
 /**
- * Talks to the workers of one pool for its owner: one hold a worker at a time, which renews leases and brings ends,
- * and orders beside it. Belongs to one event loop.
+ * Communication of an owner with the workers of its pool: one hold call per worker at a time, which renews the leases
+ * and returns ended runs, and orders in parallel to it. Confined to one event loop.
  *
- * <p>Invariant: reports are passed on only after {@link #startDelivery}, when the jobs of the pool are known; otherwise runs of
- * known jobs would be taken for strangers and stopped.
+ * <p>Invariant: reports are delivered to the scheduler only after {@link #startDelivery}, when the jobs of the pool are
+ * loaded; otherwise the runs of stored jobs would be stopped as unknown.
  */
 final class WorkerSessions {
-    /** What the sessions tell the owner. */
+    /** Receives the events of the sessions. */
     interface Listener {
-        /** Answers of workers are about to be taken over. */
+        /** A report of a worker is about to be delivered. */
         void beforeReport();
 
-        /** Something has changed that may allow a decision. */
+        /** A change may allow new scheduling decisions. */
         void onReport();
 
         /** A worker has seen a higher fencing token. */
@@ -48,8 +48,9 @@
     private final long fencingToken;
     private final BoundedLog log;
     private final Listener listener;
+    /** Ids of the workers that are polled. */
     private final Set<String> polled = new HashSet<>();
-    /** Answers that came before the jobs of the pool were known. */
+    /** Reports that were received before the jobs of the pool were loaded. */
     private final List<Runnable> buffered = new ArrayList<>();
 
     private boolean delivering;
@@ -77,7 +78,7 @@
         buffered.clear();
     }
 
-    /** Passes on the reports that have come meanwhile, and all later ones at once. */
+    /** Delivers the buffered reports, and all later ones at once. */
     void startDelivery() {
         delivering = true;
         List<Runnable> waiting = List.copyOf(buffered);
@@ -85,7 +86,7 @@
         waiting.forEach(Runnable::run);
     }
 
-    /** Begins to poll workers that are not polled yet. */
+    /** Starts to poll the workers that are not polled yet. */
     void pollNew() {
         for (String id : scheduler.workerIds()) {
             if (polled.add(id)) {
@@ -212,7 +213,7 @@
         });
     }
 
-    /** The answer; {@code ifNotRun} for a call that surely had no effect, null if that is not known. */
+    /** The answer; {@code ifNotRun} if the call surely had no effect, null if its outcome is unknown. */
     private static @Nullable Answer answerOf(Either<Failure, Reply> result, @Nullable Answer ifNotRun) {
         if (result.isRight()) {
             return result.get().answer();
