--- a/library/src/test/java/io/radishspindle/pool/runtime/AdviceChannelTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/AdviceChannelTest.java
@@ -11,14 +11,14 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Guards against calls that wait unseen behind another owner's call at the same VM. */
+/** Guards against calls that queue unnoticed behind another owner's call at the same VM. */
 class AdviceChannelTest {
     private final ManualClock clock = new ManualClock();
     private final Promise<Either<Failure, Advice>> pending = Promise.promise();
     private final AdviceChannel channel = new AdviceChannel(clock, (step, workers, timeoutMs) -> pending.future());
 
     @Test
-    void should_tell_a_second_caller_for_how_long_the_vm_is_occupied() {
+    void should_reject_a_second_call_with_the_time_for_which_the_channel_is_busy() {
         // given
         channel.advise("j.0.0", List.of("w"), 640);
         clock.nowMs += 140;
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void should_be_free_again_after_the_answer() {
+    void should_accept_a_call_after_the_answer_to_the_previous_one() {
         // given
         channel.advise("j.0.0", List.of("w"), 640);
         pending.complete(Either.right(new Advice(Map.of(), 2_000)));
--- a/library/src/test/java/io/radishspindle/pool/runtime/AdviceDispatcherTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/AdviceDispatcherTest.java
@@ -16,12 +16,12 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Guards against calls for advice that queue at one VM, and against a loop of calls through a VM that is away. */
+/** Guards against advice calls that queue at one VM, and against repeated calls through an unreachable VM. */
 class AdviceDispatcherTest {
     private final ManualClock clock = new ManualClock();
     private final FakeMessenger messenger = new FakeMessenger();
     private final ControlView view = new ControlView(clock);
-    private final Promise<Either<Failure, AdviceService.Advice>> own = Promise.promise();
+    private final Promise<Either<Failure, AdviceService.Advice>> localAdvice = Promise.promise();
     private List<String> pools = List.of("first");
     private AdviceDispatcher dispatcher;
 
@@ -29,15 +29,15 @@
     void createDispatcher() {
         addVms("a", "b", "c");
         NodeIdentity self = new NodeIdentity("a", "1", "10.0.0.1", 80, "dc", "r", 1);
-        AdviceChannel local = new AdviceChannel(clock, (step, workers, timeoutMs) -> own.future());
+        AdviceChannel local = new AdviceChannel(clock, (step, workers, timeoutMs) -> localAdvice.future());
         dispatcher = new AdviceDispatcher(clock, local, messenger, self, view, () -> pools);
     }
 
-    private Future<Either<Failure, AdviceService.Advice>> ask() {
-        return ask("first", 20);
+    private Future<Either<Failure, AdviceService.Advice>> advise() {
+        return advise("first", 20);
     }
 
-    private Future<Either<Failure, AdviceService.Advice>> ask(String pool, long expectedMs) {
+    private Future<Either<Failure, AdviceService.Advice>> advise(String pool, long expectedMs) {
         return dispatcher.advise(pool, "j.0.0", List.of("w"), expectedMs);
     }
 
@@ -58,9 +58,9 @@
         messenger.peers.put("c", message -> pending.future());
 
         // when
-        ask();
-        ask();
-        ask();
+        advise();
+        advise();
+        advise();
 
         // then
         assertThat(messenger.requestedVms).containsExactlyInAnyOrder("b", "c");
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void should_pass_over_a_vm_whose_call_has_failed_until_a_second_has_gone() {
+    void should_back_off_for_a_second_from_a_vm_whose_call_has_failed() {
         // given
         Failure failure = Failure.retryable(ErrorCode.PEER_UNREACHABLE, "peer.request", "b", "not connected", 100);
         messenger.peers.put("b", message -> Future.succeededFuture(Either.left(failure)));
@@ -76,7 +76,7 @@
 
         // when
         for (int i = 0; i < 20; i++) {
-            ask();
+            advise();
         }
 
         // then
@@ -86,22 +86,22 @@
     }
 
     @Test
-    void should_ask_through_another_vm_at_once_when_one_is_occupied_by_the_owner_of_another_pool() {
+    void should_retry_through_another_vm_at_once_when_one_is_busy_with_a_call_of_another_pool() {
         // given
-        Failure occupied = Failure.retryable(ErrorCode.OVERLOADED, "advice.call", "", "in progress", 400);
-        messenger.peers.put("b", message -> Future.succeededFuture(Either.left(occupied)));
+        Failure busy = Failure.retryable(ErrorCode.OVERLOADED, "advice.call", "", "in progress", 400);
+        messenger.peers.put("b", message -> Future.succeededFuture(Either.left(busy)));
         messenger.peers.put("c", message -> Future.succeededFuture(Either.right(new AdviceGiven(Map.of(), 2_000))));
 
         // when
-        Future<Either<Failure, AdviceService.Advice>> answer = ask();
-        ask();
+        Future<Either<Failure, AdviceService.Advice>> answer = advise();
+        advise();
 
         // then
         assertThat(answer.result().isRight()).isTrue();
         assertThat(messenger.requestedVms).containsExactly("b", "c", "c");
     }
 
-    /** Guards against short calls that wait 0.6 s behind the long calls of another pool, as seen on a busy day. */
+    /** Guards against short calls that wait 0.6 s behind the long calls of another pool, which occurred under load. */
     @Test
     void should_leave_half_of_the_vms_of_other_pools_to_their_short_calls() {
         // given
@@ -110,7 +110,7 @@
 
         // when
         for (int i = 0; i < 8; i++) {
-            ask("first", 640);
+            advise("first", 640);
         }
 
         // then
@@ -118,16 +118,16 @@
     }
 
     @Test
-    void should_keep_a_vm_free_for_short_calls_while_the_pool_makes_them() {
+    void should_reserve_a_vm_for_short_calls_while_the_pool_makes_them() {
         // given
         addVms("d");
         messenger.peers.put("b", message -> Future.succeededFuture(Either.right(new AdviceGiven(Map.of(), 2_000))));
-        ask("first", 20);
+        advise("first", 20);
         addVms("b");
 
         // when
         for (int i = 0; i < 8; i++) {
-            ask("first", 640);
+            advise("first", 640);
         }
 
         // then
--- a/library/src/test/java/io/radishspindle/pool/runtime/ConfigRelayTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/ConfigRelayTest.java
@@ -22,8 +22,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Guards against a large configuration that every VM of a distant region reads over the link between regions, and
- * against VMs that are left without the configuration.
+ * Guards against every VM of a region without the store reading a large configuration over the link between regions,
+ * and against VMs that get no configuration.
  */
 class ConfigRelayTest {
     private static final String KEY = "op/config";
@@ -48,7 +48,7 @@
         vertx.close().await();
     }
 
-    /** VMs 0 and 1 of a region are the strongest, and in one data centre. */
+    /** VMs 0 and 1 of a region are the strongest, and are in the same data centre. */
     private void addRegion(String region, int vms) {
         for (int i = 0; i < vms; i++) {
             Records.Member member =
@@ -71,7 +71,7 @@
         return result.result().get();
     }
 
-    /** Load pattern: hundreds of kilobytes of configuration reach a region of many VMs over a narrow link. */
+    /** A configuration of hundreds of kilobytes has to reach a region of many VMs over a slow link. */
     @Test
     void should_read_the_store_for_two_vms_of_a_distant_region_only() {
         // given
@@ -83,21 +83,21 @@
         }
 
         // when
-        List<Listing> seen = new ArrayList<>();
+        List<Listing> listings = new ArrayList<>();
         for (int i : new int[] {0, 2, 1, 3, 4, 5, 6}) {
             Listing listing = get(relays.get(i).list(KEY));
             listing.items().forEach(relays.get(i)::onConfigRead);
-            seen.add(listing);
+            listings.add(listing);
         }
 
         // then
-        assertThat(seen).allSatisfy(listing -> assertThat(listing.items()).containsExactly(store.items.get(KEY)));
+        assertThat(listings).allSatisfy(listing -> assertThat(listing.items()).containsExactly(store.items.get(KEY)));
         assertThat(store.calls).isEqualTo(2);
     }
 
     @ParameterizedTest
     @CsvSource({"home-5", "far-0", "far-2"})
-    void should_read_the_store_directly_near_it_and_as_a_reader(String vm) {
+    void should_read_the_store_directly_in_its_region_and_as_a_reader(String vm) {
         Listing listing = get(relay(vm).list(KEY));
 
         assertThat(listing.items()).hasSize(1);
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void should_ask_the_second_reader_when_the_first_does_not_answer() {
+    void should_query_the_second_reader_when_the_first_does_not_answer() {
         // given
         ConfigRelay second = relay("far-2");
         second.onConfigRead(store.items.get(KEY));
@@ -147,9 +147,9 @@
         assertThat(store.calls).isEqualTo(1);
     }
 
-    /** After an outage of the store, the reads of all VMs at once would hold each other up. */
+    /** After an outage of the store, the reads of all VMs at once would delay each other. */
     @Test
-    void should_leave_the_store_to_readers_that_live_and_can_not_read_it() {
+    void should_not_read_the_store_directly_while_readers_answer_that_it_is_unavailable() {
         // given
         fresh = false;
         for (String reader : List.of("far-0", "far-2")) {
--- a/library/src/test/java/io/radishspindle/pool/runtime/FakeMessenger.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/FakeMessenger.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/** Answers requests to peers from functions. Not thread-safe. */
+/** Messenger that answers the requests to each peer with a function of the test. Not thread-safe. */
 final class FakeMessenger implements PeerMessenger {
     final Map<String, Function<PeerMessage, Future<? extends Either<Failure, ? extends PeerMessage>>>> peers =
             new HashMap<>();
--- a/library/src/test/java/io/radishspindle/pool/runtime/FakeSharedStore.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/FakeSharedStore.java
@@ -15,16 +15,16 @@
 import java.util.TreeMap;
 import java.util.function.Supplier;
 
-/** A store in memory whose calls can be refused or lose their answers. Not thread-safe. */
+/** A store in memory that can reject calls or lose them or their answers. Not thread-safe. */
 final class FakeSharedStore implements SharedStore {
-    /** What happens to the next calls. */
+    /** Fault to inject into a call. */
     enum Fault {
         NONE,
-        /** Nothing is done, and the store says so. */
-        REFUSE,
-        /** The call is executed and its answer is lost. */
+        /** The store rejects the call without executing it. */
+        REJECT,
+        /** The call is executed, but its answer is lost. */
         LOSE_ANSWER,
-        /** The call is lost, which looks the same to its caller. */
+        /** The call is lost; its caller can't distinguish this from a lost answer. */
         LOSE_CALL
     }
 
@@ -34,21 +34,21 @@
 
     final Deque<Fault> firstFaults = new ArrayDeque<>();
     int calls;
-    /** Calls that were lost; running them carries them out late. */
+    /** Calls that were lost; running them executes them late. */
     final List<Runnable> lostCalls = new ArrayList<>();
 
-    /** Whether calls are lost without a word; their callers find out when {@link #hanging} is run. */
+    /** Whether calls hang; they fail when {@link #hanging} is run. */
     boolean hangs;
 
-    /** Calls without an answer so far; running them lets them fail. */
+    /** Hanging calls; running them fails them with an unknown outcome. */
     final List<Runnable> hanging = new ArrayList<>();
 
-    /** Runs once before the next transaction is looked at. */
+    /** Runs once before the next transaction is executed. */
     Runnable beforeNextTransaction = () -> {};
 
     private long revision = 10;
 
-    private <T> Future<Either<Failure, T>> guarded(Supplier<Either<Failure, T>> action) {
+    private <T> Future<Either<Failure, T>> withFaults(Supplier<Either<Failure, T>> action) {
         calls++;
         if (hangs) {
             Promise<Either<Failure, T>> answer = Promise.promise();
@@ -58,9 +58,9 @@
         return Future.succeededFuture(
                 switch (firstFaults.isEmpty() ? fault : firstFaults.remove()) {
                     case NONE -> action.get();
-                    case REFUSE ->
+                    case REJECT ->
                         Either.<Failure, T>left(
-                                Failure.retryable(ErrorCode.STORE_UNAVAILABLE, "store", "store", "refused", 1_000));
+                                Failure.retryable(ErrorCode.STORE_UNAVAILABLE, "store", "store", "rejected", 1_000));
                     case LOSE_ANSWER -> {
                         action.get();
                         yield Either.<Failure, T>left(Failure.unknown("store", "store", "no answer"));
@@ -74,17 +74,17 @@
 
     @Override
     public Future<Either<Failure, Boolean>> probe(long timeoutMs) {
-        return guarded(() -> Either.right(true));
+        return withFaults(() -> Either.right(true));
     }
 
     @Override
     public Future<Either<Failure, Optional<Item>>> get(String key) {
-        return guarded(() -> Either.right(Optional.ofNullable(items.get(key))));
+        return withFaults(() -> Either.right(Optional.ofNullable(items.get(key))));
     }
 
     @Override
     public Future<Either<Failure, Listing>> list(String prefix) {
-        return guarded(() -> Either.right(new Listing(
+        return withFaults(() -> Either.right(new Listing(
                 items.values().stream()
                         .filter(item -> item.key().startsWith(prefix))
                         .toList(),
@@ -93,7 +93,7 @@
 
     @Override
     public Future<Either<Failure, Listing>> watch(String prefix, long afterRevision, long waitMs) {
-        return guarded(() -> Either.right(new Listing(
+        return withFaults(() -> Either.right(new Listing(
                 items.values().stream()
                         .filter(item -> item.key().startsWith(prefix) && item.revision() > afterRevision)
                         .toList(),
@@ -102,7 +102,7 @@
 
     @Override
     public Future<Either<Failure, TxnResult>> transact(Txn txn) {
-        return guarded(() -> {
+        return withFaults(() -> {
             Runnable change = beforeNextTransaction;
             beforeNextTransaction = () -> {};
             change.run();
@@ -125,16 +125,16 @@
 
     @Override
     public Future<Either<Failure, Long>> createLease(long ttlMs) {
-        return guarded(() -> Either.right(7L));
+        return withFaults(() -> Either.right(7L));
     }
 
     @Override
     public Future<Either<Failure, Long>> renewLease(long lease) {
-        return guarded(() -> Either.right(2_000L));
+        return withFaults(() -> Either.right(2_000L));
     }
 
     @Override
     public Future<Either<Failure, Long>> endLease(long lease) {
-        return guarded(() -> Either.right(lease));
+        return withFaults(() -> Either.right(lease));
     }
 }
--- a/library/src/test/java/io/radishspindle/pool/runtime/JobDirectoryTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/JobDirectoryTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Guards against a cancellation that is lost or answered wrongly because the job's item changes. */
+/** Guards against a cancellation that is lost or reported wrongly because the job's item changes concurrently. */
 class JobDirectoryTest {
     private static final String POOL = "desk";
     private static final String KEY = StoreKeys.job(POOL, "j");
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void should_keep_little_of_a_cancelled_job() {
+    void should_replace_the_item_of_a_cancelled_job() {
         // when
         boolean cancelled = directory.cancel(POOL, "j").await().get();
 
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void should_cancel_a_job_whose_item_changes_meanwhile() {
+    void should_cancel_a_job_whose_item_changes_concurrently() {
         // given
         store.beforeNextTransaction = () -> store.items.put(KEY, new Item(KEY, new byte[] {(byte) 0x8e}, 4));
 
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void should_not_call_a_cancellation_durable_when_its_answer_is_lost() {
+    void should_not_report_a_cancellation_as_durable_when_its_answer_is_lost() {
         // given
         store.firstFaults.add(Fault.NONE);
         store.firstFaults.add(Fault.LOSE_CALL);
--- a/library/src/test/java/io/radishspindle/pool/runtime/JobIntakeTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/JobIntakeTest.java
@@ -22,9 +22,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Guards against refusals of jobs that are stored after all, and against two jobs with one id. */
+/** Guards against jobs that are stored although they were rejected, and against two jobs with the same id. */
 class JobIntakeTest {
-    /** Long enough for the slowest machine; only the test that waits for it makes it shorter. */
+    /** Long enough for the slowest machine; shorter only in the test that waits for the deadline. */
     private long deadlineAfterMs = 8_000;
 
     private final FakeSharedStore store = new FakeSharedStore();
@@ -115,7 +115,7 @@
     @Test
     void should_reject_at_once_when_the_store_has_rejected_the_write() throws TimeoutException {
         // given
-        store.fault = Fault.REFUSE;
+        store.fault = Fault.REJECT;
 
         // when
         Either<Failure, PoolJob> result = submit("j");
@@ -144,7 +144,7 @@
         // given
         deadlineAfterMs = 300;
         store.firstFaults.add(Fault.LOSE_CALL);
-        store.fault = Fault.REFUSE;
+        store.fault = Fault.REJECT;
 
         // when
         Either<Failure, PoolJob> result = submit("j");
--- a/library/src/test/java/io/radishspindle/pool/runtime/ManualClock.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/ManualClock.java
@@ -2,7 +2,7 @@
 
 import io.radishspindle.platform.Clock;
 
-/** A clock that moves only when a test moves it. Not thread-safe. */
+/** A clock that advances only when a test sets it. Not thread-safe. */
 final class ManualClock implements Clock {
     long nowMs = 10_000;
 
--- a/library/src/test/java/io/radishspindle/pool/runtime/OwnerElectionTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/OwnerElectionTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Guards against pools without an owner, needless changes of owner, and owners on weak VMs. */
+/** Guards against pools without an owner, unnecessary takeovers, and owners on VMs with little capacity. */
 class OwnerElectionTest {
     private static final String POOL = "desk";
 
@@ -50,7 +50,7 @@
         view.onChanged(new Item(StoreKeys.member(vm), Records.encode(member), 1));
     }
 
-    /** Another VM owns the pool. */
+    /** Makes another VM the owner of the pool. */
     private void setOwner(String vm) {
         Item item = new Item(StoreKeys.owner(POOL), Records.encode(new Records.Owner(vm, "1")), 5);
         store.items.put(item.key(), item);
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void should_leave_a_pool_to_a_stronger_vm_at_first() {
+    void should_wait_for_a_stronger_vm_before_it_claims() {
         // given
         addMember("b", 2);
 
@@ -88,7 +88,7 @@
         assertThat(claims).hasSize(1);
     }
 
-    /** Pattern: VMs are stopped in turn. A pool was without an owner for 1 s while VMs waited for one that had left. */
+    /** During a rolling stop of the VMs, a pool had no owner for 1 s while VMs waited for one that had stopped. */
     @Test
     void should_not_wait_for_a_stronger_vm_that_is_draining() {
         // given
@@ -102,9 +102,9 @@
         assertThat(claims).hasSize(1);
     }
 
-    /** The removal of a claim may fail; the VM that has given up the pool still answers. */
+    /** The removal of a claim may fail; the VM that has released the pool still answers pings. */
     @Test
-    void should_replace_an_owner_that_has_given_up_the_pool() {
+    void should_supersede_an_owner_that_has_released_the_pool() {
         // given
         setOwner("b");
         messenger.peers.put("b", message -> Future.succeededFuture(Either.right(new PoolPong(false))));
@@ -116,9 +116,9 @@
         assertThat(claims).hasSize(1);
     }
 
-    /** Pattern: a slow store. A stand-by that is told "not mine" meanwhile would claim the pool over a fresh claim. */
+    /** With a slow store, a stand-by that gets a denial before the claim is answered would supersede a fresh claim. */
     @Test
-    void should_count_as_owner_while_its_claim_has_no_answer() {
+    void should_report_ownership_while_its_claim_is_in_flight() {
         // given
         store.hangs = true;
 
@@ -132,7 +132,7 @@
     }
 
     @Test
-    void should_replace_an_owner_that_does_not_answer() {
+    void should_supersede_an_unresponsive_owner() {
         // given
         setOwner("b");
 
@@ -160,7 +160,7 @@
     }
 
     @Test
-    void should_give_way_to_a_claim_that_it_has_not_seen() {
+    void should_lose_to_a_claim_that_it_has_not_seen() {
         // given
         Item item = new Item(StoreKeys.owner(POOL), Records.encode(new Records.Owner("b", "1")), 5);
         store.items.put(item.key(), item);
--- a/library/src/test/java/io/radishspindle/pool/runtime/PauseDetectorTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/PauseDetectorTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Guards against an owner that acts on what it knew before a pause. */
+/** Guards against an owner that acts on a state from before a pause of its process. */
 class PauseDetectorTest {
     private long nowMs = 1_000;
     private long wallMs = 1_700_000_000_000L;
@@ -25,19 +25,19 @@
 
     @ParameterizedTest
     @CsvSource({
-        "50, 50, 0", // usual pause between two passes
+        "50, 50, 0", // usual time between two passes
         "1400, 1400, 0", // a busy machine
         "4000, 4000, 4000", // stopped by a signal
         "50, 10000, 10000", // suspended with its machine
-        "50, -5000, 0" // the time of day was set back
+        "50, -5000, 0" // the wall clock was set back
     })
-    void should_tell_pauses_from_busy_moments(long steadyMs, long timeOfDayMs, long pauseMs) {
+    void should_distinguish_pauses_from_high_load(long monotonicMs, long wallClockMs, long pauseMs) {
         // given
         PauseDetector detector = new PauseDetector(clock);
 
         // when
-        nowMs += steadyMs;
-        wallMs += timeOfDayMs;
+        nowMs += monotonicMs;
+        wallMs += wallClockMs;
 
         // then
         assertThat(detector.check()).isEqualTo(pauseMs);
--- a/library/src/test/java/io/radishspindle/pool/runtime/PoolSlicesTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/PoolSlicesTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Guards against owners that order too many workers, and against jobs that VMs look for in different slices. */
+/** Guards against owners with too many workers, and against VMs that map the same job to different slices. */
 class PoolSlicesTest {
     private static final String POOL = "desk";
     private static final int RACK_SIZE = 8;
@@ -55,13 +55,13 @@
     }
 
     @Test
-    void should_tell_nothing_before_the_number_of_slices_is_known() {
+    void should_return_nothing_before_the_number_of_slices_is_known() {
         assertThat(slices.of(POOL)).isEmpty();
         assertThat(slices.ofJob(POOL, "a1")).isEmpty();
         assertThat(slices.ofWorker(worker(1, "r"))).isEmpty();
     }
 
-    /** Load pattern: a fleet of thousands of workers in racks, at the size of the sweep with 300 VMs and beyond. */
+    /** Thousands of workers in racks, as in a deployment with 300 VMs and in larger ones. */
     @ParameterizedTest
     @ValueSource(ints = {720, 2157, 10_000})
     void should_keep_each_owner_below_twice_its_share_of_workers(int workers) {
--- a/library/src/test/java/io/radishspindle/pool/runtime/ProgressWriterTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/ProgressWriterTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Guards against progress that goes back when a write without an answer is carried out late. */
+/** Guards against progress that regresses when a write whose answer was lost is executed late. */
 class ProgressWriterTest {
     private static final String POOL = "desk";
     private static final long CLAIM = 5;
@@ -69,7 +69,7 @@
         vertx.close().await();
     }
 
-    /** Makes the job dirty in the given phase and waits until that is written. */
+    /** Marks the job's progress in the given phase as unwritten and waits until it is written. */
     private void write(JobPhase phase) throws TimeoutException {
         durable = Promise.promise();
         context.runOnContext(ignored -> {
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void should_report_a_replaced_claim() throws TimeoutException {
+    void should_report_that_its_claim_was_superseded() throws TimeoutException {
         // given
         store.items.put(StoreKeys.owner(POOL), new Item(StoreKeys.owner(POOL), new byte[] {1}, CLAIM + 1));
 
@@ -132,13 +132,13 @@
         assertThat(superseded.future().await(10, TimeUnit.SECONDS)).contains("replaced");
     }
 
-    /** A new owner reads the items of all jobs; those of ended jobs used to take most of that time. */
+    /** A new owner reads the items of all jobs; whole items of ended jobs took most of that time. */
     @Test
     void should_replace_the_item_of_a_job_that_has_ended() throws TimeoutException {
         // given
-        byte[] open = new byte[2_000];
-        open[0] = (byte) 0x8e;
-        store.items.put(StoreKeys.job(POOL, "j"), new Item(StoreKeys.job(POOL, "j"), open, 3));
+        byte[] unfinished = new byte[2_000];
+        unfinished[0] = (byte) 0x8e;
+        store.items.put(StoreKeys.job(POOL, "j"), new Item(StoreKeys.job(POOL, "j"), unfinished, 3));
         context.runOnContext(ignored -> scheduler.cancel("j", 1));
 
         // when
@@ -146,14 +146,14 @@
 
         // then
         byte[] value = store.items.get(StoreKeys.job(POOL, "j")).value();
-        assertThat(Records.isEndedJob(open)).isFalse();
+        assertThat(Records.isEndedJob(unfinished)).isFalse();
         assertThat(Records.isEndedJob(value)).isTrue();
         assertThat(value).hasSizeLessThan(30);
     }
 
-    /** Pattern: a store that takes 300 ms an answer under a burst of short jobs. */
+    /** A burst of short jobs while the store takes 300 ms per call. */
     @Test
-    void should_write_other_jobs_while_a_write_is_under_way() throws TimeoutException {
+    void should_write_other_jobs_while_a_write_is_in_flight() throws TimeoutException {
         // given
         submitJobs(60);
         store.hangs = true;
--- a/library/src/test/java/io/radishspindle/pool/runtime/RelayedStoreTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/RelayedStoreTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Guards against outages of a VM that the store turns away while it serves others. */
+/** Guards against outages of a VM whose calls the store rejects while it serves other VMs. */
 class RelayedStoreTest {
     private final FakeSharedStore direct = new FakeSharedStore();
     private final FakeSharedStore shared = new FakeSharedStore();
@@ -38,15 +38,15 @@
     }
 
     @Test
-    void should_go_directly_while_the_store_answers() {
+    void should_call_the_store_directly_while_it_answers() {
         assertThat(write().get().applied()).isTrue();
         assertThat(messenger.requestedVms).isEmpty();
     }
 
     @Test
-    void should_write_through_a_peer_when_the_store_turns_this_vm_away() {
+    void should_write_through_a_peer_when_the_store_rejects_this_vm() {
         // given
-        direct.fault = Fault.REFUSE;
+        direct.fault = Fault.REJECT;
 
         // when
         Either<Failure, TxnResult> result = write();
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void should_not_repeat_a_call_with_an_open_outcome_through_a_peer() {
+    void should_not_retry_a_call_with_an_unknown_outcome_through_a_peer() {
         // given
         direct.fault = Fault.LOSE_CALL;
 
@@ -72,9 +72,9 @@
     }
 
     @Test
-    void should_return_to_the_direct_path_after_a_renewal_has_passed() {
+    void should_return_to_the_direct_path_after_a_renewal_has_succeeded() {
         // given
-        direct.fault = Fault.REFUSE;
+        direct.fault = Fault.REJECT;
         write();
         direct.fault = Fault.NONE;
 
@@ -86,10 +86,10 @@
     }
 
     @Test
-    void should_refuse_truly_when_no_peer_reaches_the_store() {
+    void should_fail_as_not_run_when_no_peer_reaches_the_store() {
         // given
-        direct.fault = Fault.REFUSE;
-        shared.fault = Fault.REFUSE;
+        direct.fault = Fault.REJECT;
+        shared.fault = Fault.REJECT;
 
         // when
         Either<Failure, TxnResult> result = write();
@@ -100,11 +100,11 @@
         assertThat(messenger.requestedVms).hasSize(2);
     }
 
-    /** Guards against listing everything several times a second for as long as the store turns this VM away. */
+    /** Guards against listing all keys several times a second while the store rejects this VM. */
     @Test
-    void should_watch_through_a_peer_while_the_store_turns_this_vm_away() {
+    void should_watch_through_a_peer_while_the_store_rejects_this_vm() {
         // given
-        direct.fault = Fault.REFUSE;
+        direct.fault = Fault.REJECT;
         write();
         int directCalls = direct.calls;
 
--- a/library/src/test/java/io/radishspindle/pool/runtime/SliceSizingTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/SliceSizingTest.java
@@ -14,12 +14,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Guards against VMs that disagree on the number of slices, and against a pool that never gets one. */
+/** Guards against VMs that disagree on the number of slices of a pool, and against a pool that never gets one. */
 class SliceSizingTest {
     private static final String POOL = "desk";
 
-    /** An entry's value is the name of its pool. */
-    private static final class PlainCodec implements PlatformCodec {
+    /** Codec for worker entries whose value is the name of their pool; an empty value is unreadable. */
+    private static final class PoolNameCodec implements PlatformCodec {
         @Override
         public String workerPrefix() {
             return "workers/";
@@ -52,7 +52,7 @@
 
         Vm(String id) {
             NodeIdentity self = new NodeIdentity(id, "1", "10.0.0.1", 80, "dc", "r", 1);
-            sizing = new SliceSizing(clock, store, new PlainCodec(), view, self);
+            sizing = new SliceSizing(clock, store, new PoolNameCodec(), view, self);
             for (String vm : List.of("a", "b")) {
                 Records.Member member = new Records.Member("10.0.0.1", 80, "dc", "r", "1", 1, false);
                 view.onChanged(new Item(StoreKeys.member(vm), Records.encode(member), 1));
@@ -77,7 +77,7 @@
             put("workers/" + i, POOL);
         }
         put("workers/unreadable", "");
-        put("workers/foreign", "studio");
+        put("workers/other-pool", "studio");
     }
 
     private void put(String key, String value) {
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void should_leave_the_decision_to_the_first_vm_at_first() {
+    void should_wait_for_the_first_vm_to_decide() {
         // given
         Vm second = new Vm("b");
 
@@ -134,7 +134,7 @@
 
     @ParameterizedTest
     @EnumSource(FakeSharedStore.Fault.class)
-    void should_decide_once_whatever_happens_to_the_calls(FakeSharedStore.Fault fault) {
+    void should_decide_once_despite_failed_calls(FakeSharedStore.Fault fault) {
         // given
         Vm first = new Vm("a");
         store.firstFaults.add(fault);
@@ -164,7 +164,7 @@
         assertThat(store.calls).isEqualTo(calls);
     }
 
-    /** On the first day of a deployment the workers register in the seconds after the VMs have started. */
+    /** When a deployment is first started, the workers register in the seconds after the VMs have started. */
     @Test
     void should_wait_until_the_number_of_workers_is_stable() {
         // given
@@ -186,7 +186,7 @@
     }
 
     @Test
-    void should_keep_a_pool_whole_that_has_no_workers_for_long() {
+    void should_decide_on_one_slice_for_a_pool_that_has_no_workers_for_long() {
         // given
         store.items.clear();
         Vm first = new Vm("a");
--- a/library/src/test/java/io/radishspindle/pool/runtime/StoreReturnTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/StoreReturnTest.java
@@ -20,12 +20,12 @@
 import org.junit.jupiter.params.provider.NullSource;
 
 /**
- * Pattern: the store is unavailable for some seconds while callers keep submitting. Guards against refusals after its
- * return: callers give up within 3 s of their first attempt.
+ * The store is unavailable for some seconds while callers keep submitting. Guards against rejections after it has
+ * recovered: callers give up within 3 s of their first attempt.
  */
 class StoreReturnTest {
-    private static final long SILENCE_MS = 700;
-    private static final long PROBE_PAUSE_MS = 150;
+    private static final long UNANSWERED_MS = 700;
+    private static final long PROBE_INTERVAL_MS = 150;
 
     private final ManualClock clock = new ManualClock();
     private final FakeSharedStore direct = new FakeSharedStore();
@@ -34,9 +34,9 @@
 
     @BeforeEach
     void connectPeersWithoutStore() {
-        FakeSharedStore silent = new FakeSharedStore();
-        silent.fault = Fault.REFUSE;
-        RelayedStore peer = new RelayedStore(clock, silent, messenger, List::of);
+        FakeSharedStore unavailable = new FakeSharedStore();
+        unavailable.fault = Fault.REJECT;
+        RelayedStore peer = new RelayedStore(clock, unavailable, messenger, List::of);
         messenger.peers.put("b", message -> peer.serve((RelayStore) message));
         messenger.peers.put("c", message -> peer.serve((RelayStore) message));
     }
@@ -45,28 +45,28 @@
         store.transact(new Txn(Map.of("k", 0L), List.of(new Write("k", new byte[] {1}, 0)), List.of()));
     }
 
-    /** Fault null for a store that is silent. */
-    private void loseStore(@Nullable Fault fault) {
+    /** Makes the store unavailable; a null fault makes its calls hang. */
+    private void failStore(@Nullable Fault fault) {
         direct.hangs = fault == null;
         direct.fault = fault == null ? Fault.NONE : fault;
         write();
-        clock.nowMs += SILENCE_MS;
+        clock.nowMs += UNANSWERED_MS;
         assertThat(store.isDirectPathDown()).isTrue();
     }
 
     @ParameterizedTest
     @NullSource
-    @EnumSource(names = {"REFUSE", "LOSE_CALL"})
-    void should_use_the_direct_path_soon_after_the_return(@Nullable Fault fault) {
+    @EnumSource(names = {"REJECT", "LOSE_CALL"})
+    void should_use_the_direct_path_soon_after_the_store_has_recovered(@Nullable Fault fault) {
         // given
-        loseStore(fault);
+        failStore(fault);
         store.tick();
         assertThat(store.isDirectPathDown()).isTrue();
 
         // when
         direct.hangs = false;
         direct.fault = Fault.NONE;
-        clock.nowMs += PROBE_PAUSE_MS;
+        clock.nowMs += PROBE_INTERVAL_MS;
         store.tick();
 
         // then
@@ -74,9 +74,9 @@
     }
 
     @Test
-    void should_bound_the_probes_of_an_outage() {
+    void should_limit_the_probes_during_an_outage() {
         // given
-        loseStore(Fault.REFUSE);
+        failStore(Fault.REJECT);
         int before = direct.calls;
 
         // when
@@ -96,38 +96,38 @@
         int before = direct.calls;
 
         // when
-        clock.nowMs += PROBE_PAUSE_MS;
+        clock.nowMs += PROBE_INTERVAL_MS;
         store.tick();
 
         // then
         assertThat(direct.calls).isEqualTo(before);
     }
 
-    /** The calls of an outage fail up to 2 s after the return of the store. */
+    /** Calls made during an outage fail up to 2 s after the store has recovered. */
     @Test
-    void should_ignore_the_failure_of_a_call_that_was_sent_before_the_return() {
+    void should_ignore_the_failure_of_a_call_that_was_sent_before_the_recovery() {
         // given
-        loseStore(null);
+        failStore(null);
         direct.hangs = false;
         direct.fault = Fault.NONE;
-        clock.nowMs += PROBE_PAUSE_MS;
+        clock.nowMs += PROBE_INTERVAL_MS;
         store.tick();
 
         // when
-        clock.nowMs += PROBE_PAUSE_MS;
+        clock.nowMs += PROBE_INTERVAL_MS;
         direct.hanging.forEach(Runnable::run);
 
         // then
         assertThat(store.isDirectPathDown()).isFalse();
     }
 
-    /** A killed VM stays among the peers until its lease ends; each call through it takes 1.3 s. */
+    /** A killed VM stays among the peers until its lease expires; each call through it takes 1.3 s to time out. */
     @Test
-    void should_pass_over_a_peer_that_did_not_answer() {
+    void should_back_off_from_an_unresponsive_peer() {
         // given
         messenger.peers.put(
                 "b", message -> Future.succeededFuture(Either.left(Failure.unknown("peer.request", "b", "no answer"))));
-        loseStore(Fault.REFUSE);
+        failStore(Fault.REJECT);
         messenger.requestedVms.clear();
 
         // when
--- a/library/src/test/java/io/radishspindle/pool/runtime/StoredJobsTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/StoredJobsTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Guards against a job that is forgotten, reopened or given another end when its pool changes hands. */
+/** Guards against a job that is lost, restarted or given another final phase when its pool gets a new owner. */
 class StoredJobsTest {
     private static final String POOL = "desk";
 
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void should_go_on_with_an_open_job() {
+    void should_resume_an_unfinished_job() {
         // given
         storeJob(job());
 
@@ -57,7 +57,7 @@
 
     @ParameterizedTest
     @EnumSource(names = {"COMPLETED", "FAILED"})
-    void should_keep_the_end_of_a_job_that_was_cancelled_too_late(JobPhase phase) {
+    void should_keep_the_final_phase_of_a_job_that_was_cancelled_too_late(JobPhase phase) {
         // given
         storeJob(new Records.EndedJob(JobPhase.CANCELLED));
         storeProgress(phase);
@@ -70,9 +70,9 @@
         assertThat(scheduler.phase("j")).contains(phase);
     }
 
-    /** The listing of cancellations may be older than that of jobs. */
+    /** The listing may contain the ended item of a cancellation without the cancellation itself. */
     @Test
-    void should_take_an_ended_item_without_progress_for_a_cancellation() {
+    void should_treat_an_ended_item_without_final_progress_as_cancelled() {
         // given
         storeJob(new Records.EndedJob(JobPhase.CANCELLED));
         storeProgress(JobPhase.RUNNING);
@@ -85,7 +85,7 @@
         assertThat(scheduler.openJobs()).isZero();
     }
 
-    /** Items of the release before hold the whole job after its end. */
+    /** The previous release keeps the whole job in its item after the end of the job. */
     @Test
     void should_read_an_ended_job_that_was_stored_by_an_older_release() {
         // given
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void should_see_no_open_job_in_the_item_of_an_ended_one() {
+    void should_find_no_unfinished_job_in_the_item_of_an_ended_one() {
         storeJob(new Records.EndedJob(JobPhase.COMPLETED));
 
         assertThat(StoredJobs.unfinishedJob(intake.get(0))).isEmpty();
