--- a/library/src/main/java/io/radishspindle/pool/runtime/ConfigRelay.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/ConfigRelay.java
@@ -9,7 +9,7 @@
 import io.radishspindle.pool.runtime.Records.Member;
 import io.radishspindle.protocol.PeerMessage;
 import io.radishspindle.protocol.PeerMessenger;
-import io.radishspindle.protocol.message.PoolMessages.ConfigAnswer;
+import io.radishspindle.protocol.message.PoolMessages.ConfigReply;
 import io.radishspindle.protocol.message.PoolMessages.QueryConfig;
 import io.vavr.control.Either;
 import io.vertx.core.Future;
@@ -127,7 +127,7 @@
                 .request(
                         reader,
                         new QueryConfig(afterRevision, QUERY_WAIT_MS),
-                        ConfigAnswer.class,
+                        ConfigReply.class,
                         QUERY_WAIT_MS + REPLY_SLACK_MS)
                 .compose(reply -> {
                     if (reply.isRight()) {
@@ -144,7 +144,7 @@
                 });
     }
 
-    private static Listing listing(ConfigAnswer answer, long afterRevision) {
+    private static Listing listing(ConfigReply answer, long afterRevision) {
         return answer.value().length == 0
                 ? new Listing(List.of(), afterRevision)
                 : new Listing(List.of(new Item(answer.key(), answer.value(), answer.revision())), answer.revision());
@@ -199,7 +199,7 @@
         pendingQueries.add(pending);
         vertx.setTimer(Math.max(1, query.waitMs()), ignored -> {
             if (pendingQueries.remove(pending)) {
-                pending.promise().complete(Either.right(new ConfigAnswer("", new byte[0], 0)));
+                pending.promise().complete(Either.right(new ConfigReply("", new byte[0], 0)));
             }
         });
         return pending.promise().future();
@@ -214,7 +214,7 @@
                         self.vmId(),
                         "the configuration is absent or does not fit a message",
                         DIRECT_READ_AFTER_MS))
-                : Either.right(new ConfigAnswer(item.key(), value, item.revision()));
+                : Either.right(new ConfigReply(item.key(), value, item.revision()));
     }
 
     private Failure unavailable(String reason) {
--- a/library/src/main/java/io/radishspindle/pool/runtime/JobIntake.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/JobIntake.java
@@ -180,8 +180,8 @@
             pending.promise.complete(Either.left(rejection(failure.message())));
         } else if (clock.nowMs() >= pending.deadlineMs || storeUnavailable.getAsBoolean()) {
             // The caller retries the request at another VM, which resolves the outcome.
-            pending.promise.complete(
-                    Either.left(Failure.unknown("job.store", failure.peer(), "outcome unknown: " + failure.message())));
+            pending.promise.complete(Either.left(
+                    Failure.outcomeUnknown("job.store", failure.peer(), "outcome unknown: " + failure.message())));
         } else {
             vertx.setTimer(RETRY_DELAY_MS, ignored -> {
                 waiting.add(pending);
--- a/library/src/main/java/io/radishspindle/pool/runtime/PoolOwner.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/PoolOwner.java
@@ -167,7 +167,7 @@
                 pool,
                 fencingToken,
                 count,
-                scheduler.openJobs(),
+                scheduler.unfinishedJobs(),
                 clock.nowMs() - claimedAtMs);
         pauseDetector.check();
         intake.startAfter(jobs.revision());
@@ -182,7 +182,7 @@
         if (ticks % REMOVAL_INTERVAL_TICKS == 0) {
             removeEndedJobs();
         }
-        if (ticks % LOAD_LOG_INTERVAL_TICKS == 0 && scheduler.openJobs() > 0) {
+        if (ticks % LOAD_LOG_INTERVAL_TICKS == 0 && scheduler.unfinishedJobs() > 0) {
             logLoad();
         }
         if (!recoveryLogged && !scheduler.isRecovering(clock.nowMs())) {
@@ -202,7 +202,7 @@
                         + " waiting={} running={} without_tickets={} idle_channels={}",
                 pool,
                 fencingToken,
-                scheduler.openJobs(),
+                scheduler.unfinishedJobs(),
                 load.workers(),
                 load.usable(),
                 load.usedMilliCores() / MILLI_CORES_PER_CORE,
@@ -245,7 +245,7 @@
         long pauseMs = pauseDetector.check();
         if (pauseMs > 0) {
             Logger.warn("event=owner-paused pool={} token={} pause_ms={}", pool, fencingToken, pauseMs);
-            scheduler.distrustAnswers(clock.nowMs());
+            scheduler.invalidateEarlierAnswers(clock.nowMs());
         }
     }
 
@@ -296,13 +296,13 @@
                                 request.step(),
                                 result.getLeft().message());
                     }
-                    scheduler.advised(request.step(), request.workers(), result.getOrNull(), clock.nowMs());
+                    scheduler.onAdvice(request.step(), request.workers(), result.getOrNull(), clock.nowMs());
                     schedulePass();
                 });
     }
 
     private void removeEndedJobs() {
-        List<String> ids = scheduler.forgetEnded(clock.wallMs() - RETENTION_MS, REMOVAL_BATCH_JOBS);
+        List<String> ids = scheduler.removeEnded(clock.wallMs() - RETENTION_MS, REMOVAL_BATCH_JOBS);
         if (ids.isEmpty()) {
             return;
         }
@@ -338,7 +338,7 @@
     }
 
     void onWorkerListed(WorkerEntry entry) {
-        scheduler.workerListed(entry, clock.nowMs());
+        scheduler.onWorkerRegistered(entry, clock.nowMs());
         sessions.pollNew();
         if (loaded) {
             schedulePass();
@@ -346,7 +346,7 @@
     }
 
     void onWorkerUnlisted(String workerId) {
-        scheduler.workerUnlisted(workerId);
+        scheduler.onWorkerUnregistered(workerId);
     }
 
     /** Phase of a job; empty if it is unknown to this owner, for example while it loads. */
@@ -360,7 +360,7 @@
     }
 
     int unfinishedJobs() {
-        return scheduler.openJobs();
+        return scheduler.unfinishedJobs();
     }
 
     private void closeAsSuperseded(String reason) {
--- a/library/src/main/java/io/radishspindle/pool/runtime/ProgressWriter.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/ProgressWriter.java
@@ -154,7 +154,7 @@
             return;
         }
         if (result.isLeft()) {
-            scheduler.progress().notWritten(batch);
+            scheduler.progress().onWriteFailed(batch);
             Failure failure = result.getLeft();
             if (failure.code() != ErrorCode.STORE_UNAVAILABLE && failure.notRun()) {
                 Logger.warn("event=progress-rejected pool={} error=\"{}\"", pool, failure.message());
@@ -164,7 +164,7 @@
             writes.forEach(write -> revisions.put(write.key(), result.get().revision()));
             onBatchDurable(batch);
         } else {
-            scheduler.progress().notWritten(batch);
+            scheduler.progress().onWriteFailed(batch);
             onConflict(result.get().current());
         }
     }
@@ -187,7 +187,7 @@
     }
 
     private void onBatchDurable(Batch batch) {
-        scheduler.progress().written(batch);
+        scheduler.progress().onWritten(batch);
         listener.onDurable();
         scheduleWrite();
     }
--- a/library/src/main/java/io/radishspindle/pool/runtime/RelayedStore.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/RelayedStore.java
@@ -6,8 +6,8 @@
 import io.radishspindle.pool.port.SharedStore;
 import io.radishspindle.protocol.PeerMessenger;
 import io.radishspindle.protocol.message.PoolMessages.RelayStore;
+import io.radishspindle.protocol.message.PoolMessages.RelayStoreReply;
 import io.radishspindle.protocol.message.PoolMessages.RelayedItem;
-import io.radishspindle.protocol.message.PoolMessages.StoreRelayed;
 import io.vavr.control.Either;
 import io.vertx.core.Future;
 import java.util.ArrayList;
@@ -144,7 +144,7 @@
                 MIN_RETRY_AFTER_MS);
     }
 
-    private static Listing listing(StoreRelayed reply) {
+    private static Listing listing(RelayStoreReply reply) {
         return new Listing(reply.items().stream().map(RelayedStore::item).toList(), reply.revision());
     }
 
@@ -175,7 +175,7 @@
         return direct(() -> direct.renewLease(lease)).compose(result -> {
             boolean unresolved = result.isLeft() && result.getLeft().code() != ErrorCode.NOT_FOUND;
             return unresolved
-                    ? relay(relay, 0, result.getLeft()).map(reply -> reply.map(StoreRelayed::revision))
+                    ? relay(relay, 0, result.getLeft()).map(reply -> reply.map(RelayStoreReply::revision))
                     : Future.succeededFuture(result);
         });
     }
@@ -196,7 +196,7 @@
     }
 
     private <T> Future<Either<Failure, T>> call(
-            Supplier<Future<Either<Failure, T>>> directCall, RelayStore relay, Function<StoreRelayed, T> decoder) {
+            Supplier<Future<Either<Failure, T>>> directCall, RelayStore relay, Function<RelayStoreReply, T> decoder) {
         if (isDirectPathDown()) {
             return relay(relay, 0, unavailable(relay.operation())).compose(reply -> {
                 boolean notRun = reply.isLeft() && reply.getLeft().notRun();
@@ -215,14 +215,14 @@
         });
     }
 
-    private Future<Either<Failure, StoreRelayed>> relay(RelayStore message, int tries, Failure cause) {
+    private Future<Either<Failure, RelayStoreReply>> relay(RelayStore message, int tries, Failure cause) {
         List<String> candidates = peers.get();
         if (candidates.isEmpty() || tries >= MAX_PEERS) {
             return Future.succeededFuture(Either.left(cause));
         }
         String peer = nextPeer(candidates);
         return messenger
-                .request(peer, message, StoreRelayed.class, RELAY_TIMEOUT_MS)
+                .request(peer, message, RelayStoreReply.class, RELAY_TIMEOUT_MS)
                 .onSuccess(reply -> recordReply(peer, reply))
                 .compose(reply -> reply.isLeft() && reply.getLeft().notRun() && isOutage(reply.getLeft())
                         ? relay(message, tries + 1, cause)
@@ -240,7 +240,7 @@
         return candidates.get(Math.floorMod(rotation++, candidates.size()));
     }
 
-    private void recordReply(String peer, Either<Failure, StoreRelayed> reply) {
+    private void recordReply(String peer, Either<Failure, RelayStoreReply> reply) {
         boolean unresponsive = reply.isLeft()
                 && (reply.getLeft().code() == ErrorCode.PEER_UNREACHABLE
                         || reply.getLeft().code() == ErrorCode.OUTCOME_UNKNOWN);
@@ -275,7 +275,7 @@
     }
 
     /** Executes a call for another VM, directly only: it is never relayed further. */
-    Future<Either<Failure, StoreRelayed>> serve(RelayStore message) {
+    Future<Either<Failure, RelayStoreReply>> serve(RelayStore message) {
         if (isDirectPathDown()) {
             return Future.succeededFuture(Either.left(Failure.retryable(
                     ErrorCode.STORE_UNAVAILABLE,
@@ -287,25 +287,25 @@
         return switch (message.operation()) {
             case "get" ->
                 direct.get(message.key())
-                        .map(result -> result.map(item -> new StoreRelayed(
+                        .map(result -> result.map(item -> new RelayStoreReply(
                                 true,
                                 0,
                                 item.map(RelayedStore::relayed).stream().toList())));
             case "list" ->
                 direct.list(message.key())
                         .map(result -> result.map(
-                                listing -> new StoreRelayed(true, listing.revision(), relayed(listing.items()))));
+                                listing -> new RelayStoreReply(true, listing.revision(), relayed(listing.items()))));
             case "watch" ->
-                direct.watch(message.key(), message.number(), RELAYED_WAIT_MS)
+                direct.watch(message.key(), message.argument(), RELAYED_WAIT_MS)
                         .map(result -> result.map(
-                                listing -> new StoreRelayed(true, listing.revision(), relayed(listing.items()))));
+                                listing -> new RelayStoreReply(true, listing.revision(), relayed(listing.items()))));
             case "renew" ->
-                direct.renewLease(message.number())
-                        .map(result -> result.map(ttlMs -> new StoreRelayed(true, ttlMs, List.of())));
+                direct.renewLease(message.argument())
+                        .map(result -> result.map(ttlMs -> new RelayStoreReply(true, ttlMs, List.of())));
             case "transact" ->
                 direct.transact(txn(message))
                         .map(result -> result.map(
-                                done -> new StoreRelayed(done.applied(), done.revision(), relayed(done.current()))));
+                                done -> new RelayStoreReply(done.applied(), done.revision(), relayed(done.current()))));
             default ->
                 Future.succeededFuture(Either.left(Failure.rejected(
                         ErrorCode.INVALID_REQUEST, "store.relay", "unknown operation " + message.operation())));
--- a/library/src/test/java/io/radishspindle/pool/runtime/StoreReturnTest.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/StoreReturnTest.java
@@ -126,7 +126,9 @@
     void should_back_off_from_an_unresponsive_peer() {
         // given
         messenger.peers.put(
-                "b", message -> Future.succeededFuture(Either.left(Failure.unknown("peer.request", "b", "no answer"))));
+                "b",
+                message ->
+                        Future.succeededFuture(Either.left(Failure.outcomeUnknown("peer.request", "b", "no answer"))));
         failStore(Fault.REJECT);
         messenger.requestedVms.clear();
 
