--- a/library/src/main/java/io/radishspindle/pool/runtime/PoolNode.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/PoolNode.java
@@ -389,16 +389,16 @@
             codec.worker(item.key(), value).ifPresent(entry -> {
                 WorkerEntry before = workers.put(entry.id(), entry);
                 if (before != null && !slices.ofWorker(before).equals(slices.ofWorker(entry))) {
-                    ownerOf(before).ifPresent(owner -> owner.onWorkerUnlisted(entry.id()));
+                    ownerOf(before).ifPresent(owner -> owner.onWorkerUnregistered(entry.id()));
                 }
-                ownerOf(entry).ifPresent(owner -> owner.onWorkerListed(entry));
+                ownerOf(entry).ifPresent(owner -> owner.onWorkerRegistered(entry));
             });
         }
 
         private void onRemoved(String id) {
             WorkerEntry entry = workers.remove(id);
             if (entry != null) {
-                ownerOf(entry).ifPresent(owner -> owner.onWorkerUnlisted(id));
+                ownerOf(entry).ifPresent(owner -> owner.onWorkerUnregistered(id));
             }
         }
 
--- a/library/src/main/java/io/radishspindle/pool/runtime/PoolOwner.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/PoolOwner.java
@@ -109,7 +109,7 @@
 
     /** Starts polling the given workers and loads the jobs from the store. */
     void start(Collection<WorkerEntry> workers) {
-        workers.forEach(this::onWorkerListed);
+        workers.forEach(this::onWorkerRegistered);
         sessions.pollNew();
         load();
     }
@@ -337,7 +337,7 @@
         }
     }
 
-    void onWorkerListed(WorkerEntry entry) {
+    void onWorkerRegistered(WorkerEntry entry) {
         scheduler.onWorkerRegistered(entry, clock.nowMs());
         sessions.pollNew();
         if (loaded) {
@@ -345,7 +345,7 @@
         }
     }
 
-    void onWorkerUnlisted(String workerId) {
+    void onWorkerUnregistered(String workerId) {
         scheduler.onWorkerUnregistered(workerId);
     }
 
