--- a/library/src/main/java/io/radishspindle/idempotency/BucketOperation.java
+++ b/library/src/main/java/io/radishspindle/idempotency/BucketOperation.java
@@ -103,9 +103,7 @@
                 return Either.left(AnswerCache.otherRequest(claim.request()));
             }
             return Either.right(
-                    entry.isFinished()
-                            ? new BeginResult.Finished(entry.status(), Optional.empty())
-                            : new BeginResult.Unresolved());
+                    entry.isFinished() ? new BeginResult.Finished(entry.status(), Optional.empty()) : new BeginResult.Unresolved());
         }
     }
 
