--- a/library/src/main/java/io/radishspindle/pool/runtime/ConfigRelay.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/ConfigRelay.java
@@ -26,39 +26,39 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Reads the operators' configuration. In a large region away from the store two strong VMs read it there, in different
- * data centres, and the others ask them, so that a large configuration crosses the link between regions twice instead
- * of once for each VM. Belongs to one event loop.
+ * Reads the operators' configuration. In a large region without the store, two strong VMs of different data centres
+ * act as readers: they read the store, and the other VMs query them. A large configuration thus crosses the link
+ * between regions twice instead of once for each VM. Confined to one event loop.
  *
- * <p>Invariant: a VM passes on the configuration only while its own reads succeed.
+ * <p>Invariant: a reader serves the configuration only while its own reads succeed.
  */
 final class ConfigRelay implements PrefixReader {
     /**
-     * Smaller regions read the store directly: a configuration of 0.5 MB takes 0.1 s for each VM on a link of 42
+     * VMs of smaller regions read the store directly: a configuration of 0.5 MB takes 0.1 s for each VM on a link of 42
      * Mbit/s between regions.
      */
     private static final int MIN_REGION_VMS = 6;
-    /** Wait of one question, in milliseconds; short, as a reader that hangs is only noticed at its end. */
-    private static final long WAIT_MS = 700;
-    /** Time beyond its wait that an answer may take, in milliseconds: a large configuration on a link of 10 Mbit/s. */
-    private static final long ANSWER_MS = 500;
-    /** A reader that has not answered is not asked for this long, in milliseconds; a restart takes 1 to 2 s. */
-    private static final long PASS_OVER_MS = 2_000;
+    /** Wait of one query, in milliseconds; short, as an unresponsive reader is detected only at its end. */
+    private static final long QUERY_WAIT_MS = 700;
+    /** Time beyond the wait that a reply may take, in milliseconds: a large configuration on a link of 10 Mbit/s. */
+    private static final long REPLY_SLACK_MS = 500;
+    /** An unresponsive reader is not queried for this long, in milliseconds; a restart takes 1 to 2 s. */
+    private static final long READER_BACKOFF_MS = 2_000;
     /**
-     * The store is asked directly after this long without a word from a reader, in milliseconds; changes are due
+     * Without a reply of a reader for this long, in milliseconds, the store is read directly; changes must be applied
      * within 4 s.
      */
-    private static final long DIRECT_AFTER_MS = 1_500;
+    private static final long DIRECT_READ_AFTER_MS = 1_500;
     /** Largest configuration that fits a message, in bytes. */
-    private static final int MAX_BYTES = 900 * 1024;
+    private static final int MAX_CONFIG_BYTES = 900 * 1024;
 
-    /** Readers should be strong, since they send a large configuration to all others of the region. */
+    /** Order of preference as reader, as a reader sends a large configuration to all other VMs of the region. */
     private static final Comparator<Map.Entry<String, Member>> STRONGEST_FIRST = Comparator.comparingDouble(
                     (Map.Entry<String, Member> vm) -> -vm.getValue().strength())
             .thenComparing(Map.Entry::getKey);
 
-    /** A question that waits for a newer configuration. */
-    private record Waiting(long afterRevision, Promise<Either<Failure, PeerMessage>> promise) {}
+    /** A query that waits for a newer configuration. */
+    private record PendingQuery(long afterRevision, Promise<Either<Failure, PeerMessage>> promise) {}
 
     private final Vertx vertx;
     private final Clock clock;
@@ -67,12 +67,12 @@
     private final ControlView view;
     private final NodeIdentity self;
     private final BooleanSupplier isFresh;
-    private final Map<String, Long> passedOverUntilMs = new HashMap<>();
-    private final List<Waiting> waiting = new ArrayList<>();
+    private final Map<String, Long> backOffUntilMs = new HashMap<>();
+    private final List<PendingQuery> pendingQueries = new ArrayList<>();
     private @Nullable Item latest;
-    private long lastAnswerMs;
+    private long lastReplyMs;
 
-    /** @param isFresh whether the configuration has been read lately */
+    /** @param isFresh whether the last successful read of the configuration is recent */
     ConfigRelay(
             Vertx vertx,
             Clock clock,
@@ -88,7 +88,7 @@
         this.view = view;
         this.self = self;
         this.isFresh = isFresh;
-        lastAnswerMs = clock.nowMs();
+        lastReplyMs = clock.nowMs();
     }
 
     @Override
@@ -102,41 +102,45 @@
     }
 
     private Future<Either<Failure, Listing>> read(
-            long afterRevision, Supplier<Future<Either<Failure, Listing>>> directly) {
+            long afterRevision, Supplier<Future<Either<Failure, Listing>>> directRead) {
         List<String> readers = readers();
         if (readers.isEmpty()) {
-            return directly.get();
+            return directRead.get();
         }
         long nowMs = clock.nowMs();
-        Iterator<String> asked = readers.stream()
-                .filter(vm -> passedOverUntilMs.getOrDefault(vm, Long.MIN_VALUE) <= nowMs)
+        Iterator<String> candidates = readers.stream()
+                .filter(vm -> backOffUntilMs.getOrDefault(vm, Long.MIN_VALUE) <= nowMs)
                 .iterator();
-        return ask(asked, afterRevision, directly);
+        return queryReaders(candidates, afterRevision, directRead);
     }
 
-    private Future<Either<Failure, Listing>> ask(
-            Iterator<String> readers, long afterRevision, Supplier<Future<Either<Failure, Listing>>> directly) {
+    private Future<Either<Failure, Listing>> queryReaders(
+            Iterator<String> readers, long afterRevision, Supplier<Future<Either<Failure, Listing>>> directRead) {
         if (!readers.hasNext()) {
-            // All VMs of the region at once would take so long to read a large configuration that none succeeds.
-            return clock.nowMs() - lastAnswerMs < DIRECT_AFTER_MS
-                    ? Future.succeededFuture(Either.left(unavailable("no reader of the region has answered")))
-                    : directly.get();
+            // If all VMs of the region read a large configuration at once, it takes so long that none succeeds.
+            return clock.nowMs() - lastReplyMs < DIRECT_READ_AFTER_MS
+                    ? Future.succeededFuture(Either.left(unavailable("no reader of the region has replied")))
+                    : directRead.get();
         }
         String reader = readers.next();
         return messenger
-                .request(reader, new QueryConfig(afterRevision, WAIT_MS), ConfigReply.class, WAIT_MS + ANSWER_MS)
+                .request(
+                        reader,
+                        new QueryConfig(afterRevision, QUERY_WAIT_MS),
+                        ConfigReply.class,
+                        QUERY_WAIT_MS + REPLY_SLACK_MS)
                 .compose(reply -> {
                     if (reply.isRight()) {
-                        lastAnswerMs = clock.nowMs();
+                        lastReplyMs = clock.nowMs();
                         return Future.succeededFuture(Either.right(listing(reply.get(), afterRevision)));
                     }
                     if (reply.getLeft().code() == ErrorCode.STORE_UNAVAILABLE) {
-                        // The reader lives and reaches the store through no peer, so that this VM would not either.
-                        lastAnswerMs = clock.nowMs();
+                        // The reader answers but can't reach the store even through peers, so this VM couldn't either.
+                        lastReplyMs = clock.nowMs();
                     } else {
-                        passedOverUntilMs.put(reader, clock.nowMs() + PASS_OVER_MS);
+                        backOffUntilMs.put(reader, clock.nowMs() + READER_BACKOFF_MS);
                     }
-                    return ask(readers, afterRevision, directly);
+                    return queryReaders(readers, afterRevision, directRead);
                 });
     }
 
@@ -146,7 +150,7 @@
                 : new Listing(List.of(new Item(answer.key(), answer.value(), answer.revision())), answer.revision());
     }
 
-    /** VMs to be asked; empty if this VM reads the store itself. */
+    /** Readers to query; empty if this VM reads the store itself. */
     private List<String> readers() {
         if (self.region().equals(view.homeRegion())) {
             return List.of();
@@ -168,52 +172,52 @@
         return readers.contains(self.vmId()) ? List.of() : readers;
     }
 
-    /** The configuration as this VM has read it last. */
-    void seen(Item item) {
+    /** Stores a configuration that this VM has read and answers the queries that wait for it. */
+    void onConfigRead(Item item) {
         Item before = latest;
         if (before != null && before.revision() >= item.revision()) {
             return;
         }
         latest = item;
-        List<Waiting> answered = waiting.stream()
-                .filter(question -> question.afterRevision() < item.revision())
+        List<PendingQuery> answered = pendingQueries.stream()
+                .filter(pending -> pending.afterRevision() < item.revision())
                 .toList();
-        waiting.removeAll(answered);
-        answered.forEach(question -> question.promise().complete(answer(item)));
+        pendingQueries.removeAll(answered);
+        answered.forEach(pending -> pending.promise().complete(answer(item)));
     }
 
-    /** Answers a VM of the same region, at once or as soon as there is a newer configuration. */
+    /** Answers a VM of the same region as soon as there is a newer configuration, or when its wait ends. */
     Future<Either<Failure, PeerMessage>> serve(QueryConfig query) {
         Item item = latest;
         if (item == null || !isFresh.getAsBoolean()) {
-            return Future.succeededFuture(Either.left(unavailable("the configuration has not been read lately")));
+            return Future.succeededFuture(Either.left(unavailable("this VM has no recent read of the configuration")));
         }
         if (item.revision() > query.afterRevision()) {
             return Future.succeededFuture(answer(item));
         }
-        Waiting question = new Waiting(query.afterRevision(), Promise.promise());
-        waiting.add(question);
+        PendingQuery pending = new PendingQuery(query.afterRevision(), Promise.promise());
+        pendingQueries.add(pending);
         vertx.setTimer(Math.max(1, query.waitMs()), ignored -> {
-            if (waiting.remove(question)) {
-                question.promise().complete(Either.right(new ConfigReply("", new byte[0], 0)));
+            if (pendingQueries.remove(pending)) {
+                pending.promise().complete(Either.right(new ConfigReply("", new byte[0], 0)));
             }
         });
-        return question.promise().future();
+        return pending.promise().future();
     }
 
     private Either<Failure, PeerMessage> answer(Item item) {
         byte[] value = item.value();
-        return value == null || value.length > MAX_BYTES
+        return value == null || value.length > MAX_CONFIG_BYTES
                 ? Either.left(Failure.retryable(
                         ErrorCode.NOT_FOUND,
                         "config.read",
                         self.vmId(),
                         "the configuration is absent or does not fit a message",
-                        DIRECT_AFTER_MS))
+                        DIRECT_READ_AFTER_MS))
                 : Either.right(new ConfigReply(item.key(), value, item.revision()));
     }
 
     private Failure unavailable(String reason) {
-        return Failure.retryable(ErrorCode.STORE_UNAVAILABLE, "config.read", self.vmId(), reason, DIRECT_AFTER_MS);
+        return Failure.retryable(ErrorCode.STORE_UNAVAILABLE, "config.read", self.vmId(), reason, DIRECT_READ_AFTER_MS);
     }
 }
--- a/library/src/main/java/io/radishspindle/pool/runtime/JobDirectory.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/JobDirectory.java
@@ -23,20 +23,20 @@
 import java.util.Optional;
 
 /**
- * Answers questions about jobs and cancels them: from the owner of the pool, or from the store if the owner can't
- * tell. Belongs to one event loop.
+ * Queries and cancels jobs. Queries go to the owner of the pool, and to the store if the owner does not know. Confined
+ * to one event loop.
  *
  * <p>Invariant: a job is reported as unknown only after a linearizable read has not found it.
  */
 final class JobDirectory {
-    /** How long the owner may take before the store is asked instead, in milliseconds. */
+    /** Timeout of a query to the owner, in milliseconds; the store is read afterwards. */
     private static final long OWNER_TIMEOUT_MS = 500;
 
     private static final long RETRY_AFTER_MS = 1_000;
     private static final byte[] CANCELLED = {1};
     private static final byte[] CANCELLED_JOB = Records.encode(new Records.EndedJob(JobPhase.CANCELLED));
-    /** Each change of a job's item costs a cancellation one try; an item changes twice at most. */
-    private static final int MAX_CANCEL_TRIES = 3;
+    /** Each change of a job's item fails one attempt to cancel the job; an item changes twice at most. */
+    private static final int MAX_CANCEL_ATTEMPTS = 3;
 
     private final SharedStore store;
     private final PeerMessenger messenger;
@@ -72,12 +72,14 @@
         return messenger
                 .request(owner.get(), new QueryPoolJob(pool, jobId), PoolJobState.class, OWNER_TIMEOUT_MS)
                 .compose(reply -> {
-                    Optional<JobPhase> told = reply.toJavaOptional().flatMap(JobDirectory::phaseOf);
-                    return told.isPresent() ? Future.succeededFuture(Either.right(told)) : phaseFromStore(pool, jobId);
+                    Optional<JobPhase> reported = reply.toJavaOptional().flatMap(JobDirectory::phaseOf);
+                    return reported.isPresent()
+                            ? Future.succeededFuture(Either.right(reported))
+                            : phaseFromStore(pool, jobId);
                 });
     }
 
-    /** Empty if the owner can't tell, or uses a word of another release. */
+    /** Empty if the owner does not know, or sends a phase that only another release has. */
     private static Optional<JobPhase> phaseOf(PoolJobState state) {
         return Arrays.stream(JobPhase.values())
                 .filter(phase -> phase.name().equals(state.phase()))
@@ -120,7 +122,7 @@
         return Optional.of(cancelled ? JobPhase.CANCELLED : saved.orElse(JobPhase.QUEUED));
     }
 
-    /** Number of jobs of a queue without a started task, as the owner or its last answer tells it. */
+    /** Number of jobs of a queue without a started task, from the owner or else from its last answer. */
     Future<Either<Failure, Integer>> pending(String pool, String queue) {
         PoolOwner local = owned.get(pool);
         if (local != null) {
@@ -157,7 +159,7 @@
         return cancel(pool, jobId, 1);
     }
 
-    private Future<Either<Failure, Boolean>> cancel(String pool, String jobId, int tries) {
+    private Future<Either<Failure, Boolean>> cancel(String pool, String jobId, int attempt) {
         return store.get(StoreKeys.job(pool, jobId)).compose(found -> {
             if (found.isLeft()) {
                 return Future.succeededFuture(Either.left(found.getLeft()));
@@ -174,20 +176,20 @@
                     List.of());
             return store.transact(txn).compose(result -> {
                 if (result.isRight() && result.get().applied()) {
-                    tellOwner(pool, jobId);
-                } else if (result.isRight() && tries < MAX_CANCEL_TRIES) {
+                    notifyOwner(pool, jobId);
+                } else if (result.isRight() && attempt < MAX_CANCEL_ATTEMPTS) {
                     // The job has ended or was cancelled since it was read.
-                    return cancel(pool, jobId, tries + 1);
+                    return cancel(pool, jobId, attempt + 1);
                 }
                 return Future.succeededFuture(result.map(TxnResult::applied));
             });
         });
     }
 
-    private void tellOwner(String pool, String jobId) {
+    private void notifyOwner(String pool, String jobId) {
         PoolOwner local = owned.get(pool);
         if (local != null) {
-            local.cancelStored(jobId);
+            local.onCancelStored(jobId);
         } else {
             remoteOwner(pool).ifPresent(vm -> messenger.send(vm, new CancelStored(pool, jobId)));
         }
--- a/library/src/main/java/io/radishspindle/pool/runtime/PrefixWatch.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/PrefixWatch.java
@@ -13,26 +13,26 @@
 import org.tinylog.Logger;
 
 /**
- * Follows the keys under a prefix: one listing, then watches; a new listing whenever history is missing. Belongs to
- * one event loop.
+ * Watches the keys under a prefix: lists them once, then watches for changes, and lists them again after a failure or
+ * when the store no longer has the history. Confined to one event loop.
  */
 final class PrefixWatch {
     /**
-     * How long one watch waits, in milliseconds. Short, because a connection that has gone silent is only noticed at
-     * its end, and a change has to be in force within 2.5 s.
+     * Wait of one watch, in milliseconds. Short, because an unresponsive connection is detected only at its end, and a
+     * change must be applied within 2.5 s.
      */
-    private static final long WAIT_MS = 1_500;
+    private static final long WATCH_WAIT_MS = 1_500;
 
     private static final long RETRY_MS = 200;
-    /** Watches in a row that may find nothing before the prefix is listed again, against a watch that hears nothing. */
-    private static final int QUIET_WATCHES = 8;
+    /** Empty watches in a row before the prefix is listed again, in case the watch misses changes. */
+    private static final int MAX_EMPTY_WATCHES = 8;
 
-    /** Receives what the watch sees. */
+    /** Receives the listings and changes. */
     interface Listener {
-        /** Everything under the prefix; what is absent no longer exists. */
-        void listed(List<Item> items);
+        /** Receives all items under the prefix; a key that is absent no longer exists. */
+        void onListed(List<Item> items);
 
-        void changed(Item item);
+        void onChanged(Item item);
     }
 
     private final Vertx vertx;
@@ -41,17 +41,17 @@
     private final String prefix;
     private final long pauseMs;
     private final Listener listener;
-    private final Consumer<Boolean> reachable;
+    private final Consumer<Boolean> onResult;
     private long revision;
     private boolean listed;
     private boolean closed;
     private boolean failing;
-    private int quiet;
+    private int emptyWatches;
     private long lastSuccessMs = Long.MIN_VALUE;
 
     /**
-     * @param pauseMs pause between watches in milliseconds, so that several changes arrive with one call
-     * @param reachable told after each call whether the store has answered
+     * @param pauseMs pause after a watch with changes, in milliseconds; batches several changes into one call
+     * @param onResult called after each call with whether it succeeded
      */
     PrefixWatch(
             Vertx vertx,
@@ -60,21 +60,21 @@
             String prefix,
             long pauseMs,
             Listener listener,
-            Consumer<Boolean> reachable) {
+            Consumer<Boolean> onResult) {
         this.vertx = vertx;
         this.clock = clock;
         this.store = store;
         this.prefix = prefix;
         this.pauseMs = pauseMs;
         this.listener = listener;
-        this.reachable = reachable;
+        this.onResult = onResult;
     }
 
     void start() {
         list();
     }
 
-    /** Begins after a listing that the caller has made itself. */
+    /** Starts watching after a listing that the caller has made itself. */
     void startAfter(long listedRevision) {
         revision = listedRevision;
         listed = true;
@@ -85,7 +85,7 @@
         closed = true;
     }
 
-    /** Time of the last answer of the store, on the steady clock. */
+    /** Time of the last successful call, on the monotonic clock. */
     long lastSuccessMs() {
         return lastSuccessMs;
     }
@@ -105,20 +105,20 @@
             return;
         }
         if (result.isLeft()) {
-            failed(result.getLeft(), this::list);
+            onFailure(result.getLeft(), this::list);
             return;
         }
-        succeeded();
+        onSuccess();
         revision = result.get().revision();
         listed = true;
-        quiet = 0;
-        listener.listed(result.get().items());
+        emptyWatches = 0;
+        listener.onListed(result.get().items());
         watch();
     }
 
     private void watch() {
         if (!closed) {
-            store.watch(prefix, revision, WAIT_MS).onSuccess(this::onWatched);
+            store.watch(prefix, revision, WATCH_WAIT_MS).onSuccess(this::onWatched);
         }
     }
 
@@ -132,17 +132,17 @@
                 Logger.info("event=watch-history-lost prefix={} revision={}", prefix, revision);
                 list();
             } else {
-                // Changes may have been missed while the store was away; only a listing tells what has gone.
-                failed(failure, this::list);
+                // Changes may have been missed while the store was unavailable; only a listing shows removed keys.
+                onFailure(failure, this::list);
             }
             return;
         }
-        succeeded();
+        onSuccess();
         Listing changes = result.get();
-        changes.items().forEach(listener::changed);
+        changes.items().forEach(listener::onChanged);
         revision = Math.max(revision, changes.revision());
-        quiet = changes.items().isEmpty() ? quiet + 1 : 0;
-        if (quiet >= QUIET_WATCHES) {
+        emptyWatches = changes.items().isEmpty() ? emptyWatches + 1 : 0;
+        if (emptyWatches >= MAX_EMPTY_WATCHES) {
             list();
         } else if (pauseMs > 0 && !changes.items().isEmpty()) {
             vertx.setTimer(pauseMs, ignored -> watch());
@@ -151,16 +151,16 @@
         }
     }
 
-    private void succeeded() {
+    private void onSuccess() {
         lastSuccessMs = clock.nowMs();
         if (failing) {
             failing = false;
             Logger.info("event=dependency-regained dependency=store prefix={}", prefix);
         }
-        reachable.accept(true);
+        onResult.accept(true);
     }
 
-    private void failed(Failure failure, Runnable again) {
+    private void onFailure(Failure failure, Runnable retry) {
         if (!failing) {
             failing = true;
             Logger.warn(
@@ -169,7 +169,7 @@
                     failure.step(),
                     failure.message());
         }
-        reachable.accept(false);
-        vertx.setTimer(RETRY_MS, ignored -> again.run());
+        onResult.accept(false);
+        vertx.setTimer(RETRY_MS, ignored -> retry.run());
     }
 }
--- a/library/src/main/java/io/radishspindle/pool/runtime/WorkerSessions.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/WorkerSessions.java
@@ -22,23 +22,23 @@
 import org.tinylog.Logger;
 
 /**
- * Talks to the workers of one pool for its owner: one hold a worker at a time, which renews leases and brings ends,
- * and orders beside it. Belongs to one event loop.
+ * Communication of an owner with the workers of its pool: one hold call per worker at a time, which renews the leases
+ * and returns ended runs, and orders in parallel to it. Confined to one event loop.
  *
- * <p>Invariant: reports are passed on only after {@link #open}, when the jobs of the pool are known; otherwise runs of
- * known jobs would be taken for strangers and stopped.
+ * <p>Invariant: reports are delivered to the scheduler only after {@link #startDelivery}, when the jobs of the pool are
+ * loaded; otherwise the runs of stored jobs would be stopped as unknown.
  */
 final class WorkerSessions {
-    /** What the sessions tell the owner. */
+    /** Receives the events of the sessions. */
     interface Listener {
-        /** Answers of workers are about to be taken over. */
+        /** A report of a worker is about to be delivered. */
         void beforeReport();
 
-        /** Something has changed that may allow a decision. */
+        /** A change may allow new scheduling decisions. */
         void onReport();
 
         /** A worker has seen a higher fencing token. */
-        void onDeposed(String reason);
+        void onSuperseded(String reason);
     }
 
     private final Vertx vertx;
@@ -48,11 +48,12 @@
     private final long fencingToken;
     private final BoundedLog log;
     private final Listener listener;
+    /** Ids of the workers that are polled. */
     private final Set<String> polled = new HashSet<>();
-    /** Answers that came before the jobs of the pool were known. */
-    private final List<Runnable> early = new ArrayList<>();
+    /** Reports that were received before the jobs of the pool were loaded. */
+    private final List<Runnable> buffered = new ArrayList<>();
 
-    private boolean open;
+    private boolean delivering;
     private boolean closed;
 
     WorkerSessions(
@@ -74,18 +75,18 @@
 
     void close() {
         closed = true;
-        early.clear();
+        buffered.clear();
     }
 
-    /** Passes on the reports that have come meanwhile, and all later ones at once. */
-    void open() {
-        open = true;
-        List<Runnable> waiting = List.copyOf(early);
-        early.clear();
+    /** Delivers the buffered reports, and all later ones at once. */
+    void startDelivery() {
+        delivering = true;
+        List<Runnable> waiting = List.copyOf(buffered);
+        buffered.clear();
         waiting.forEach(Runnable::run);
     }
 
-    /** Begins to poll workers that are not polled yet. */
+    /** Starts to poll the workers that are not polled yet. */
     void pollNew() {
         for (String id : scheduler.workerIds()) {
             if (polled.add(id)) {
@@ -107,10 +108,10 @@
             if (closed) {
                 return;
             }
-            if (open) {
+            if (delivering) {
                 onHold(worker, sentAtMs, receivedAtMs, result);
             } else {
-                early.add(() -> onHold(worker, sentAtMs, receivedAtMs, result));
+                buffered.add(() -> onHold(worker, sentAtMs, receivedAtMs, result));
             }
         });
     }
@@ -132,7 +133,7 @@
             return;
         }
         if (result.isRight() && result.get().answer() == Answer.FENCED) {
-            listener.onDeposed("worker " + id + " has seen a higher fencing token");
+            listener.onSuperseded("worker " + id + " has seen a higher fencing token");
             return;
         }
         scheduler.onHoldFailed(id, sentAtMs);
@@ -175,7 +176,7 @@
 
     private void onStartAnswer(String worker, Run run, @Nullable Answer answer) {
         if (answer == Answer.FENCED) {
-            listener.onDeposed("worker " + worker + " has seen a higher fencing token");
+            listener.onSuperseded("worker " + worker + " has seen a higher fencing token");
             return;
         }
         scheduler.onStartReply(worker, run, answer, clock.nowMs());
@@ -192,7 +193,7 @@
             if (!closed) {
                 Answer answer = answerOf(result, null);
                 if (answer == Answer.FENCED) {
-                    listener.onDeposed("worker " + worker.id() + " has seen a higher fencing token");
+                    listener.onSuperseded("worker " + worker.id() + " has seen a higher fencing token");
                 } else {
                     scheduler.onStopReply(worker.id(), run, answer, clock.nowMs());
                 }
@@ -212,11 +213,11 @@
         });
     }
 
-    /** The answer; {@code notSent} for a call that surely had no effect, null if that is not known. */
-    private static @Nullable Answer answerOf(Either<Failure, Reply> result, @Nullable Answer notSent) {
+    /** The answer; {@code ifNotRun} if the call surely had no effect, null if its outcome is unknown. */
+    private static @Nullable Answer answerOf(Either<Failure, Reply> result, @Nullable Answer ifNotRun) {
         if (result.isRight()) {
             return result.get().answer();
         }
-        return result.getLeft().notRun() ? notSent : null;
+        return result.getLeft().notRun() ? ifNotRun : null;
     }
 }
--- a/library/src/test/java/io/radishspindle/pool/runtime/FakeMessenger.java
+++ b/library/src/test/java/io/radishspindle/pool/runtime/FakeMessenger.java
@@ -12,11 +12,11 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/** Answers requests to peers from functions. Not thread-safe. */
+/** Messenger that answers the requests to each peer with a function of the test. Not thread-safe. */
 final class FakeMessenger implements PeerMessenger {
     final Map<String, Function<PeerMessage, Future<? extends Either<Failure, ? extends PeerMessage>>>> peers =
             new HashMap<>();
-    final List<String> asked = new ArrayList<>();
+    final List<String> requestedVms = new ArrayList<>();
     final List<PeerMessage> sent = new ArrayList<>();
 
     @Override
@@ -28,7 +28,7 @@
     @SuppressWarnings("unchecked")
     public <R extends PeerMessage> Future<Either<Failure, R>> request(
             String toVm, PeerMessage message, Class<R> replyType, long timeoutMs) {
-        asked.add(toVm);
+        requestedVms.add(toVm);
         var peer = peers.get(toVm);
         if (peer == null) {
             return Future.succeededFuture(Either.left(
