--- a/library/src/main/java/io/radishspindle/placement/internal/Admission.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Admission.java
@@ -21,19 +21,19 @@
     private final WorkerTable workers;
     private final Sizing sizing;
 
-    Admission(Parts parts) {
-        this.context = parts.context;
-        this.jobs = parts.jobs;
-        this.queues = parts.queues;
-        this.workers = parts.workers;
-        this.sizing = parts.sizing;
+    Admission(Components components) {
+        this.context = components.context;
+        this.jobs = components.jobs;
+        this.queues = components.queues;
+        this.workers = components.workers;
+        this.sizing = components.sizing;
     }
 
     Either<Failure, JobSpec> check(JobSpec job) {
         return invalid(job)
-                .or(() -> known(job))
+                .or(() -> alreadyAccepted(job))
                 .or(() -> noWorkers())
-                .or(() -> overQuotaForEver(job))
+                .or(() -> zeroQuota(job))
                 .or(() -> neverFits(job))
                 .or(() -> queueFull(job))
                 .<Either<Failure, JobSpec>>map(Either::left)
@@ -43,27 +43,27 @@
     private static Optional<Failure> invalid(JobSpec job) {
         Resources r = job.perTask();
         if (job.id().isBlank() || job.team().isBlank() || job.family().isBlank()) {
-            return refuse(ErrorCode.INVALID_REQUEST, "id, team and family must not be empty");
+            return reject(ErrorCode.INVALID_REQUEST, "id, team and family must not be empty");
         }
         if (job.tasks() < 1 || job.tasks() > MAX_TASKS) {
-            return refuse(ErrorCode.INVALID_REQUEST, "tasks is " + job.tasks() + ", must be 1 to " + MAX_TASKS);
+            return reject(ErrorCode.INVALID_REQUEST, "tasks is " + job.tasks() + ", must be 1 to " + MAX_TASKS);
         }
         if (r.milliCores() < 0 || r.memoryMib() < 0 || r.accelerators() < 0 || r.equals(Resources.NONE)) {
-            return refuse(ErrorCode.INVALID_REQUEST, "resources per task must be at least 0 and not all 0: " + r);
+            return reject(ErrorCode.INVALID_REQUEST, "resources per task must be at least 0 and not all 0: " + r);
         }
         if (job.expectedRunMs() < 0) {
-            return refuse(
+            return reject(
                     ErrorCode.INVALID_REQUEST, "expectedRunMs is " + job.expectedRunMs() + ", must be at least 0");
         }
         if (job.maxAttempts() < 1 && job.jobClass() != JobClass.SERVICE) {
-            return refuse(ErrorCode.INVALID_REQUEST, "maxAttempts is " + job.maxAttempts() + ", must be at least 1");
+            return reject(ErrorCode.INVALID_REQUEST, "maxAttempts is " + job.maxAttempts() + ", must be at least 1");
         }
         return Optional.empty();
     }
 
-    private Optional<Failure> known(JobSpec job) {
+    private Optional<Failure> alreadyAccepted(JobSpec job) {
         return jobs.isKnown(job.id())
-                ? refuse(ErrorCode.CONFLICT, "a job with id " + job.id() + " was accepted before")
+                ? reject(ErrorCode.CONFLICT, "a job with id " + job.id() + " was accepted before")
                 : Optional.empty();
     }
 
@@ -75,19 +75,19 @@
         return Optional.of(Failure.retryable(ErrorCode.NOT_READY, STEP, "", message, NO_WORKERS_RETRY_MS));
     }
 
-    private Optional<Failure> overQuotaForEver(JobSpec job) {
+    private Optional<Failure> zeroQuota(JobSpec job) {
         Resources quota = context.policy.quotaOf(job.team());
         Resources need = job.perTask();
-        boolean none = quota.milliCores() <= 0 && need.milliCores() > 0
+        boolean impossible = quota.milliCores() <= 0 && need.milliCores() > 0
                 || quota.memoryMib() <= 0 && need.memoryMib() > 0
                 || quota.accelerators() <= 0 && need.accelerators() > 0;
-        if (!none) {
+        if (!impossible) {
             return Optional.empty();
         }
-        return refuse(
+        return reject(
                 ErrorCode.QUOTA_EXCEEDED,
-                "each task needs " + Explainer.text(need) + ", the quota of team " + job.team() + " is "
-                        + Explainer.text(quota) + " and a resource with quota 0 can't be borrowed");
+                "each task needs " + Explainer.format(need) + ", the quota of team " + job.team() + " is "
+                        + Explainer.format(quota) + " and a resource with quota 0 can't be borrowed");
     }
 
     private Optional<Failure> neverFits(JobSpec job) {
@@ -97,17 +97,17 @@
         if (capacity >= count) {
             return Optional.empty();
         }
-        String each = "each task needs " + Explainer.text(need);
+        String each = "each task needs " + Explainer.format(need);
         if (capacity > 0) {
-            return refuse(
+            return reject(
                     ErrorCode.NEVER_FITS,
                     each + " and all " + count + " start together, but the "
                             + workers.all().size() + " workers of the group hold only " + capacity + " when empty");
         }
-        return refuse(
+        return reject(
                 ErrorCode.NEVER_FITS,
                 each + ", no single one of the " + workers.all().size() + " workers of the group is large enough; the"
-                        + " largest amounts on any of them are " + Explainer.text(sizing.largestAmounts()));
+                        + " largest amounts on any of them are " + Explainer.format(sizing.largestAmounts()));
     }
 
     private Optional<Failure> queueFull(JobSpec job) {
@@ -120,7 +120,7 @@
         return Optional.of(Failure.retryable(ErrorCode.OVERLOADED, STEP, "", message, QUEUE_FULL_RETRY_MS));
     }
 
-    private static Optional<Failure> refuse(ErrorCode code, String message) {
+    private static Optional<Failure> reject(ErrorCode code, String message) {
         return Optional.of(Failure.rejected(code, STEP, message));
     }
 }
--- a/library/src/main/java/io/radishspindle/placement/internal/Attempt.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Attempt.java
@@ -24,7 +24,7 @@
     boolean stopSent;
     Resources peak = Resources.NONE;
     /** Milli-cores that a throttled attempt lacks; 0 if it is not throttled. */
-    long throttledBy;
+    long missingMilliCores;
 
     Attempt(TaskAttempt id, @Nullable JobState job, WorkerState worker, Resources charged, long startedAtMs) {
         this.id = id;
--- a/library/src/main/java/io/radishspindle/placement/internal/Stopper.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/AttemptStopper.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 
 /** Stops attempts and repeats the command until the worker reports the end. Not thread-safe. */
-final class Stopper {
+final class AttemptStopper {
     /** An urgent task starts within 1.7 s, so a checkpoint that takes longer than this is given up. */
     private static final long CHECKPOINT_FOR_URGENT_MS = 500;
 
@@ -15,7 +15,7 @@
     private final Context context;
     private final Timers timers;
 
-    Stopper(Context context, Timers timers) {
+    AttemptStopper(Context context, Timers timers) {
         this.context = context;
         this.timers = timers;
     }
@@ -43,7 +43,7 @@
             timers.at(context.nowMs + NO_AUTHORITY_RETRY_MS, () -> send(attempt, reason));
             return;
         }
-        boolean checkpoint = !attempt.stopSent && keepsWork(reason);
+        boolean checkpoint = !attempt.stopSent && allowsCheckpoint(reason);
         Command command = checkpoint ? Command.CHECKPOINT_AND_STOP : Command.STOP;
         attempt.stopSent = true;
         context.emit(new PlacementAction.CommandTask(attempt.id, attempt.worker.id, command, reason.text()));
@@ -55,7 +55,7 @@
         return worker.condition == WorkerState.Condition.USABLE || worker.condition == WorkerState.Condition.LEAVING;
     }
 
-    private static boolean keepsWork(StopReason reason) {
+    private static boolean allowsCheckpoint(StopReason reason) {
         return reason == StopReason.URGENT || reason == StopReason.RECLAIMED || reason == StopReason.OVERUSE;
     }
 }
--- a/library/src/main/java/io/radishspindle/placement/internal/ClassQueue.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/ClassQueue.java
@@ -17,10 +17,10 @@
 final class ClassQueue {
     private static final Comparator<Bucket> BY_ARRIVAL = Comparator.comparingLong(b -> b.headSequence);
 
-    private record Key(String team, Resources demand) {}
+    private record BucketKey(String team, Resources demand) {}
 
     private final Shapes shapes;
-    private final Map<Key, Bucket> buckets = new HashMap<>();
+    private final Map<BucketKey, Bucket> buckets = new HashMap<>();
     private final TreeSet<Bucket> byArrival = new TreeSet<>(BY_ARRIVAL);
     private final Map<Team, TreeSet<Bucket>> byTeam = new TreeMap<>(Comparator.comparing((Team t) -> t.name));
 
@@ -29,12 +29,12 @@
     }
 
     void add(JobState job, Team team) {
-        Bucket known = job.bucket;
-        if (known != null) {
+        Bucket current = job.bucket;
+        if (current != null) {
             return;
         }
         Bucket bucket = buckets.computeIfAbsent(
-                new Key(team.name, job.demand), key -> new Bucket(team, shapes.acquire(job.demand)));
+                new BucketKey(team.name, job.demand), key -> new Bucket(team, shapes.acquire(job.demand)));
         unlink(bucket);
         bucket.jobs.put(job.sequence, job);
         job.bucket = bucket;
@@ -50,7 +50,7 @@
         bucket.jobs.remove(job.sequence);
         job.bucket = null;
         if (bucket.jobs.isEmpty()) {
-            buckets.remove(new Key(bucket.team.name, bucket.demand));
+            buckets.remove(new BucketKey(bucket.team.name, bucket.demand));
             shapes.release(bucket.shape);
         } else {
             link(bucket);
@@ -62,10 +62,10 @@
             return;
         }
         byArrival.remove(bucket);
-        TreeSet<Bucket> own = byTeam.get(bucket.team);
-        if (own != null) {
-            own.remove(bucket);
-            if (own.isEmpty()) {
+        TreeSet<Bucket> teamBuckets = byTeam.get(bucket.team);
+        if (teamBuckets != null) {
+            teamBuckets.remove(bucket);
+            if (teamBuckets.isEmpty()) {
                 byTeam.remove(bucket.team);
             }
         }
@@ -90,7 +90,7 @@
     }
 
     Set<Bucket> bucketsOf(Team team) {
-        TreeSet<Bucket> own = byTeam.get(team);
-        return own == null ? Set.of() : own;
+        TreeSet<Bucket> teamBuckets = byTeam.get(team);
+        return teamBuckets == null ? Set.of() : teamBuckets;
     }
 }
--- a/library/src/main/java/io/radishspindle/placement/internal/Parts.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Components.java
@@ -2,8 +2,8 @@
 
 import io.radishspindle.placement.PlacementPolicy;
 
-/** Builds the parts of one core and connects them. Not thread-safe. */
-final class Parts {
+/** Builds the components of one core and connects them. Not thread-safe. */
+final class Components {
     final Context context;
     final Timers timers = new Timers();
     final WorkerTable workers = new WorkerTable();
@@ -12,17 +12,17 @@
     final Families families = new Families();
     final Ledger ledger;
     final Sizing sizing;
-    final Stopper stopper;
+    final AttemptStopper stopper;
     final Explainer explainer;
     final Lifecycle lifecycle;
     final Quarantine quarantine;
     final Placer placer;
 
-    Parts(PlacementPolicy policy) {
+    Components(PlacementPolicy policy) {
         context = new Context(policy);
         ledger = new Ledger(context, workers, queues);
         sizing = new Sizing(workers);
-        stopper = new Stopper(context, timers);
+        stopper = new AttemptStopper(context, timers);
         explainer = new Explainer(context, workers, queues);
         lifecycle = new Lifecycle(this);
         quarantine = new Quarantine(this);
--- a/library/src/main/java/io/radishspindle/placement/internal/Explainer.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Explainer.java
@@ -34,7 +34,7 @@
         if (job.cancelled) {
             return JobStatus.Phase.CANCELLED;
         }
-        return job.verdict == null ? JobStatus.Phase.FAILED : job.verdict;
+        return job.endPhase == null ? JobStatus.Phase.FAILED : job.endPhase;
     }
 
     private JobStatus status(JobState job, JobStatus.Phase phase, String explanation, long nowMs) {
@@ -82,7 +82,7 @@
         }
         int ready = job.count(TaskPhase.READY);
         if (ready > 0) {
-            return ready + " of " + job.spec.tasks() + " tasks wait: " + whyReadyWaits(job);
+            return ready + " of " + job.spec.tasks() + " tasks wait: " + explainReadyTasks(job);
         }
         if (job.count(TaskPhase.DELAYED) > 0) {
             return job.count(TaskPhase.DELAYED) + " of " + job.spec.tasks() + " tasks wait to be started again after: "
@@ -92,25 +92,25 @@
             return job.count(TaskPhase.OPEN) + " of " + job.spec.tasks()
                     + " tasks may still run on a worker that has not answered since the change of owner";
         }
-        return live + " of " + job.spec.tasks() + " tasks run" + unreachableNote(job);
+        return live + " of " + job.spec.tasks() + " tasks run" + describeUnreachable(job);
     }
 
-    private static String unreachableNote(JobState job) {
+    private static String describeUnreachable(JobState job) {
         int unreachable = unreachable(job);
         return unreachable == 0 ? "" : ", " + unreachable + " of them on workers that do not answer at present";
     }
 
-    private String whyReadyWaits(JobState job) {
+    private String explainReadyTasks(JobState job) {
         if (!context.mayStart) {
             return "this VM has no authority over the group's workers at present";
         }
         if (job.isGang() && !job.live.isEmpty()) {
             return "the " + job.live.size() + " running tasks of the job are stopped first, as all start together";
         }
-        return whyNoRoom(job);
+        return explainCapacity(job);
     }
 
-    private String whyNoRoom(JobState job) {
+    private String explainCapacity(JobState job) {
         int usable = 0;
         int possible = 0;
         long fitting = 0;
@@ -122,10 +122,10 @@
             if (worker.isUsable()) {
                 usable++;
                 fitting += WorkerTable.fitCount(job.demand, worker.free, job.spec.tasks());
-                largestFree = closer(job.demand, largestFree, worker.free);
+                largestFree = closerFit(job.demand, largestFree, worker.free);
             }
         }
-        String needs = "each needs " + text(job.demand);
+        String needs = "each needs " + format(job.demand);
         if (possible == 0) {
             return needs + ", more than any of the " + workers.all().size() + " known workers has";
         }
@@ -134,15 +134,15 @@
                     + " usable workers";
         }
         if (fitting == 0) {
-            return needs + ", the closest of " + usable + " usable workers has " + text(largestFree) + " free"
-                    + borrowing(job);
+            return needs + ", the closest of " + usable + " usable workers has " + format(largestFree) + " free"
+                    + describeBorrowing(job);
         }
         return needs + "; there is room for " + fitting + " on " + usable
                 + " usable workers, but it is kept for urgent tasks or reservations, or not yet decided on"
-                + borrowing(job);
+                + describeBorrowing(job);
     }
 
-    private String borrowing(JobState job) {
+    private String describeBorrowing(JobState job) {
         double share = queues.team(job.spec.team()).share(context.policy);
         if (share <= 1) {
             return "";
@@ -152,11 +152,11 @@
     }
 
     /** Of two free amounts the one that holds the larger part of the demand. */
-    private static Resources closer(Resources demand, Resources a, Resources b) {
-        return Amounts.part(demand, b) > Amounts.part(demand, a) ? b : a;
+    private static Resources closerFit(Resources demand, Resources a, Resources b) {
+        return ResourceRatios.fitRatio(demand, b) > ResourceRatios.fitRatio(demand, a) ? b : a;
     }
 
-    static String text(Resources r) {
+    static String format(Resources r) {
         return String.format(
                 Locale.ROOT,
                 "%.1f cores, %d MiB and %d accelerators",
--- a/library/src/main/java/io/radishspindle/placement/internal/FailurePolicy.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/FailurePolicy.java
@@ -20,19 +20,19 @@
     private final Queues queues;
     private final Lifecycle lifecycle;
 
-    FailurePolicy(Parts parts) {
-        this.context = parts.context;
-        this.queues = parts.queues;
-        this.lifecycle = parts.lifecycle;
+    FailurePolicy(Components components) {
+        this.context = components.context;
+        this.queues = components.queues;
+        this.lifecycle = components.lifecycle;
     }
 
     /** Handles a failed attempt whose charge is released. Returns whether the task ended for good. */
-    boolean failed(JobState job, int index, Attempt attempt, String detail) {
-        String what = "attempt " + attempt.id + " failed on worker " + attempt.worker.id + ": " + detail;
-        job.lastProblem = what;
+    boolean onFailure(JobState job, int index, Attempt attempt, String detail) {
+        String problem = "attempt " + attempt.id + " failed on worker " + attempt.worker.id + ": " + detail;
+        job.lastProblem = problem;
         job.failedOnWorker = attempt.worker.id;
         if (job.spec.jobClass() == JobClass.SERVICE) {
-            restart(job, index, attempt, what);
+            restart(job, index, attempt, problem);
             return false;
         }
         Family family = job.family;
@@ -41,21 +41,21 @@
         job.totalFailures++;
         boolean exhausted = isExhausted(job, index);
         if (exhausted) {
-            fail(job, index, what);
+            fail(job, index, problem);
         } else {
             job.retriesUsed++;
-            lifecycle.requeue(job, index, what, context.nowMs + backOffMs(job, job.failures[index]));
+            lifecycle.requeue(job, index, problem, context.nowMs + backOffMs(job, job.failures[index]));
         }
-        if (family.failsAlways()) {
-            setAside(family);
+        if (family.isFailingConsistently()) {
+            setAsideFailingJobs(family);
         }
         return exhausted;
     }
 
-    private void fail(JobState job, int index, String what) {
+    private void fail(JobState job, int index, String problem) {
         if (job.isGang()) {
             queues.move(job, index, TaskPhase.FAILED);
-            lifecycle.abandon(job, JobStatus.Phase.FAILED, what);
+            lifecycle.abandon(job, JobStatus.Phase.FAILED, problem);
         } else {
             lifecycle.finishTask(job, index, TaskPhase.FAILED);
         }
@@ -76,7 +76,7 @@
         return job.failures[index] >= maxAttempts || job.retriesUsed >= (maxAttempts - 1) * share;
     }
 
-    private void setAside(Family family) {
+    private void setAsideFailingJobs(Family family) {
         for (JobState job : new ArrayList<>(family.jobs)) {
             boolean service = job.spec.jobClass() == JobClass.SERVICE;
             if (!service && job.totalFailures > 0 && job.count(TaskPhase.SUCCEEDED) == 0) {
@@ -85,15 +85,15 @@
         }
     }
 
-    void serviceExited(JobState job, int index, Attempt attempt) {
+    void onServiceExit(JobState job, int index, Attempt attempt) {
         restart(job, index, attempt, "replica " + index + " exited on worker " + attempt.worker.id);
     }
 
-    private void restart(JobState job, int index, Attempt attempt, String what) {
+    private void restart(JobState job, int index, Attempt attempt, String problem) {
         boolean stable = context.nowMs - attempt.startedAtMs >= STABLE_MS;
         job.failures[index] = stable ? 1 : job.failures[index] + 1;
-        job.lastProblem = what;
-        lifecycle.requeue(job, index, what, context.nowMs + backOffMs(job, job.failures[index]));
+        job.lastProblem = problem;
+        lifecycle.requeue(job, index, problem, context.nowMs + backOffMs(job, job.failures[index]));
     }
 
     private static long backOffMs(JobState job, int failures) {
@@ -101,7 +101,7 @@
         return Math.min(MAX_BACK_OFF_MS, first << Math.min(failures - 1, 20));
     }
 
-    long refusedUntil() {
+    long retryRefusedAtMs() {
         return context.nowMs + REFUSED_BACK_OFF_MS;
     }
 }
--- a/library/src/main/java/io/radishspindle/placement/internal/FairPass.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/FairPass.java
@@ -27,7 +27,7 @@
      */
     private static final double AGING_MS = 30_000;
     /** Bounds the search for a job that may run beside the reservations. */
-    private static final int MAX_TRIED_PER_BUCKET = 8;
+    private static final int MAX_JOBS_PER_BUCKET = 8;
 
     /** A team with its buckets that may still find a worker. */
     private static final class Candidate {
@@ -50,9 +50,9 @@
     private final Reservations reservations;
     private long pass;
 
-    FairPass(Parts parts, Reservations reservations) {
-        this.context = parts.context;
-        this.ledger = parts.ledger;
+    FairPass(Components components, Reservations reservations) {
+        this.context = components.context;
+        this.ledger = components.ledger;
         this.reservations = reservations;
     }
 
@@ -114,10 +114,10 @@
     private boolean startFrom(Bucket bucket, Chooser chooser) {
         int tried = 0;
         for (JobState job : bucket.jobs.values()) {
-            if (bucket.shape.blocked || tried++ == MAX_TRIED_PER_BUCKET) {
+            if (bucket.shape.blocked || tried++ == MAX_JOBS_PER_BUCKET) {
                 return false;
             }
-            if (isHopeless(job, bucket.shape)) {
+            if (isKnownNotToFit(job, bucket.shape)) {
                 continue;
             }
             WorkerState worker = chooser.choose(job);
@@ -131,7 +131,7 @@
     }
 
     /** Whether a job that runs no longer found no worker before; one with a reservation of its own still may. */
-    private boolean isHopeless(JobState job, Shape shape) {
+    private boolean isKnownNotToFit(JobState job, Shape shape) {
         return shape.hasFailed(pass, job.expectedRunMs()) && reservations.of(job) == null;
     }
 }
--- a/library/src/main/java/io/radishspindle/placement/internal/Family.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Family.java
@@ -28,9 +28,9 @@
     private final Deque<Long> runTimes = new ArrayDeque<>();
     private final Set<String> failedJobs = new LinkedHashSet<>();
     private final Set<String> failedWorkers = new LinkedHashSet<>();
-    private Resources learned = Resources.NONE;
-    private long learnedRunMs = -1;
-    private int failedInRow;
+    private Resources observedPeak = Resources.NONE;
+    private long estimatedRunMs = -1;
+    private int consecutiveFailures;
 
     Family(String name) {
         this.name = name;
@@ -41,7 +41,7 @@
         if (peaks.size() > SAMPLES) {
             peaks.removeFirst();
         }
-        learned = peaks.stream().reduce(Resources.NONE, Family::max);
+        observedPeak = peaks.stream().reduce(Resources.NONE, Family::max);
     }
 
     static Resources max(Resources a, Resources b) {
@@ -52,8 +52,8 @@
     }
 
     /** The declared size, raised to the highest usage seen lately. Never less than declared. */
-    Resources reservation(Resources declared) {
-        return max(declared, new Resources(learned.milliCores(), learned.memoryMib(), 0));
+    Resources demandFor(Resources declared) {
+        return max(declared, new Resources(observedPeak.milliCores(), observedPeak.memoryMib(), 0));
     }
 
     void noteSuccess(long ranMs) {
@@ -62,19 +62,19 @@
             runTimes.removeFirst();
         }
         long[] sorted = runTimes.stream().mapToLong(Long::longValue).sorted().toArray();
-        learnedRunMs = sorted.length < MIN_RUN_SAMPLES ? -1 : sorted[sorted.length * 3 / 4];
-        failedInRow = 0;
+        estimatedRunMs = sorted.length < MIN_RUN_SAMPLES ? -1 : sorted[sorted.length * 3 / 4];
+        consecutiveFailures = 0;
         failedJobs.clear();
         failedWorkers.clear();
     }
 
     /** Expected run time: the upper quartile of the last ones, or the declared one while little is known. */
     long expectedRunMs(JobSpec spec) {
-        return learnedRunMs >= 0 ? learnedRunMs : Math.max(1, spec.expectedRunMs());
+        return estimatedRunMs >= 0 ? estimatedRunMs : Math.max(1, spec.expectedRunMs());
     }
 
     void noteFailure(String jobId, String workerId) {
-        failedInRow++;
+        consecutiveFailures++;
         if (failedJobs.size() < SAMPLES) {
             failedJobs.add(jobId);
         }
@@ -84,24 +84,24 @@
     }
 
     /** Takes back failures that were the fault of a worker. */
-    void forgiveFailures(int count, String workerId) {
-        failedInRow = Math.max(0, failedInRow - count);
+    void discountFailures(int count, String workerId) {
+        consecutiveFailures = Math.max(0, consecutiveFailures - count);
         failedWorkers.remove(workerId);
     }
 
     /** Whether the family has failed on another worker since its last success. */
-    boolean failsElsewhere(String workerId) {
+    boolean hasFailedElsewhere(String workerId) {
         return failedWorkers.size() > (failedWorkers.contains(workerId) ? 1 : 0);
     }
 
-    boolean failsAlways() {
-        return failedInRow >= SET_ASIDE_ATTEMPTS
+    boolean isFailingConsistently() {
+        return consecutiveFailures >= SET_ASIDE_ATTEMPTS
                 && failedJobs.size() >= SET_ASIDE_JOBS
                 && failedWorkers.size() >= SET_ASIDE_WORKERS;
     }
 
     String failureSummary() {
-        return "the last " + failedInRow + " attempts of family " + name + " failed, in " + failedJobs.size()
+        return "the last " + consecutiveFailures + " attempts of family " + name + " failed, in " + failedJobs.size()
                 + " jobs on " + failedWorkers.size() + " workers " + Arrays.toString(failedWorkers.toArray());
     }
 }
--- a/library/src/main/java/io/radishspindle/placement/internal/GangPass.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/GangPass.java
@@ -12,7 +12,7 @@
 /** Starts all-at-once jobs: all tasks of a job that have not succeeded, or none. Not thread-safe. */
 final class GangPass {
     /** Bounds the work of one pass. */
-    private static final int MAX_TRIED = 16;
+    private static final int MAX_JOBS_PER_PASS = 16;
 
     private final Context context;
     private final Queues queues;
@@ -20,11 +20,11 @@
     private final Ledger ledger;
     private final Reservations reservations;
 
-    GangPass(Parts parts, Reservations reservations) {
-        this.context = parts.context;
-        this.queues = parts.queues;
-        this.workers = parts.workers;
-        this.ledger = parts.ledger;
+    GangPass(Components components, Reservations reservations) {
+        this.context = components.context;
+        this.queues = components.queues;
+        this.workers = components.workers;
+        this.ledger = components.ledger;
         this.reservations = reservations;
     }
 
@@ -34,25 +34,25 @@
             return;
         }
         int tried = 0;
-        for (JobState job : inOrder(queue)) {
+        for (JobState job : jobsByTeamShare(queue)) {
             if (!isComplete(job)) {
                 continue;
             }
-            if (tried++ >= MAX_TRIED) {
+            if (tried++ >= MAX_JOBS_PER_PASS) {
                 return;
             }
             tryStart(job);
         }
     }
 
-    private List<JobState> inOrder(ClassQueue queue) {
+    private List<JobState> jobsByTeamShare(ClassQueue queue) {
         List<Team> teams = new ArrayList<>(queue.teams());
         teams.sort(Comparator.comparingDouble((Team t) -> t.share(context.policy)));
         List<JobState> order = new ArrayList<>();
         for (Team team : teams) {
             for (Bucket bucket : queue.bucketsOf(team)) {
                 for (JobState job : bucket.jobs.values()) {
-                    if (order.size() < 2 * MAX_TRIED) {
+                    if (order.size() < 2 * MAX_JOBS_PER_PASS) {
                         order.add(job);
                     }
                 }
@@ -68,13 +68,13 @@
     }
 
     private void tryStart(JobState job) {
-        if (job.triedAtVersion == ledger.freedVersion()) {
+        if (job.noFitAtVersion == ledger.freedVersion()) {
             reservations.reserve(job, job.count(TaskPhase.READY));
             return;
         }
         Map<WorkerState, Integer> plan = plan(job);
         if (plan == null) {
-            job.triedAtVersion = ledger.freedVersion();
+            job.noFitAtVersion = ledger.freedVersion();
             reservations.reserve(job, job.count(TaskPhase.READY));
             return;
         }
@@ -90,17 +90,17 @@
 
     private @Nullable Map<WorkerState, Integer> plan(JobState job) {
         Resources demand = job.demand;
-        int missing = job.count(TaskPhase.READY);
+        int remaining = job.count(TaskPhase.READY);
         List<WorkerState> candidates = new ArrayList<>();
         long total = 0;
         for (WorkerState worker : workers.all()) {
-            int here = worker.isUsable() ? WorkerTable.fitCount(demand, worker.freeForOthers(), missing) : 0;
-            if (here > 0 && reservations.allows(job, worker)) {
+            int tasksHere = worker.isUsable() ? WorkerTable.fitCount(demand, worker.freeForOthers(), remaining) : 0;
+            if (tasksHere > 0 && reservations.allows(job, worker)) {
                 candidates.add(worker);
-                total += here;
+                total += tasksHere;
             }
         }
-        if (total < missing) {
+        if (total < remaining) {
             return null;
         }
         Comparator<WorkerState> order =
@@ -109,10 +109,10 @@
                 .thenComparing(w -> w.id));
         Map<WorkerState, Integer> plan = new LinkedHashMap<>();
         for (WorkerState worker : candidates) {
-            int here = WorkerTable.fitCount(demand, worker.freeForOthers(), missing);
-            plan.put(worker, here);
-            missing -= here;
-            if (missing == 0) {
+            int tasksHere = WorkerTable.fitCount(demand, worker.freeForOthers(), remaining);
+            plan.put(worker, tasksHere);
+            remaining -= tasksHere;
+            if (remaining == 0) {
                 break;
             }
         }
--- a/library/src/main/java/io/radishspindle/placement/internal/JobState.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/JobState.java
@@ -32,7 +32,7 @@
     private final int[] attemptNumbers;
     private final BitSet started = new BitSet();
     private final Map<String, Integer> perRack = new HashMap<>();
-    private long numbersEpoch = -1;
+    private long attemptNumbersEpoch = -1;
     private long longestStartWaitMs;
     /** Charged per task; the declared size, or more if the family is known to use more. */
     Resources demand;
@@ -41,10 +41,10 @@
     int retriesUsed;
     boolean cancelled;
     /** Set when the job can't succeed any more and what remains of it is being ended. */
-    JobStatus.@Nullable Phase verdict;
+    JobStatus.@Nullable Phase endPhase;
 
     /** Value of {@link Ledger#freedVersion} when the gang was found not to fit; -1 if it has to be tried. */
-    long triedAtVersion = -1;
+    long noFitAtVersion = -1;
 
     @Nullable
     Bucket bucket;
@@ -78,7 +78,7 @@
     }
 
     boolean isEnding() {
-        return cancelled || verdict != null;
+        return cancelled || endPhase != null;
     }
 
     TaskPhase phase(int index) {
@@ -89,7 +89,7 @@
         return counts[phase.ordinal()];
     }
 
-    boolean isOver() {
+    boolean isFinished() {
         return count(TaskPhase.SUCCEEDED) + count(TaskPhase.FAILED) + count(TaskPhase.CANCELLED) == spec.tasks();
     }
 
@@ -126,24 +126,24 @@
     }
 
     int nextAttemptNumber(int index, long epoch) {
-        useEpoch(epoch);
+        resetNumbersForEpoch(epoch);
         return ++attemptNumbers[index];
     }
 
     /** Keeps later numbers above one that was reported for the same epoch. */
     void noteAttempt(int index, long epoch, int number) {
-        if (epoch > numbersEpoch) {
-            useEpoch(epoch);
+        if (epoch > attemptNumbersEpoch) {
+            resetNumbersForEpoch(epoch);
         }
-        if (epoch == numbersEpoch) {
+        if (epoch == attemptNumbersEpoch) {
             attemptNumbers[index] = Math.max(attemptNumbers[index], number);
         }
     }
 
-    private void useEpoch(long epoch) {
-        if (epoch != numbersEpoch) {
+    private void resetNumbersForEpoch(long epoch) {
+        if (epoch != attemptNumbersEpoch) {
             Arrays.fill(attemptNumbers, 0);
-            numbersEpoch = epoch;
+            attemptNumbersEpoch = epoch;
         }
     }
 
@@ -155,11 +155,11 @@
     }
 
     long longestWaitMs(long nowMs) {
-        boolean neverStarted = started.cardinality() + finishedUnseen() < spec.tasks() && !isOver();
-        return neverStarted ? Math.max(longestStartWaitMs, nowMs - acceptedAtMs) : longestStartWaitMs;
+        boolean someNeverStarted = started.cardinality() + endedWithoutStart() < spec.tasks() && !isFinished();
+        return someNeverStarted ? Math.max(longestStartWaitMs, nowMs - acceptedAtMs) : longestStartWaitMs;
     }
 
-    private int finishedUnseen() {
+    private int endedWithoutStart() {
         int unseen = 0;
         for (int i = 0; i < phases.length; i++) {
             if (!started.get(i) && (phases[i].isFinal() || phases[i] == TaskPhase.OPEN)) {
--- a/library/src/main/java/io/radishspindle/placement/internal/Ledger.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Ledger.java
@@ -59,9 +59,9 @@
             orphans.put(attempt.id.task(), attempt);
             return;
         }
-        boolean waited = Queues.isWaiting(job.phase(attempt.id.task().index()));
+        boolean wasWaiting = Queues.isWaiting(job.phase(attempt.id.task().index()));
         job.addLive(attempt);
-        queues.afterMove(job, waited, false);
+        queues.onPhaseChange(job, wasWaiting, false);
         queues.charge(job, attempt.charged);
         running++;
     }
@@ -70,7 +70,7 @@
     void release(Attempt attempt) {
         attempt.worker.release(attempt);
         workers.reindex(attempt.worker);
-        freed(attempt.worker);
+        noteFreed(attempt.worker);
         JobState job = attempt.job;
         if (job == null) {
             orphans.remove(attempt.id.task(), attempt);
@@ -84,21 +84,21 @@
     /** Raises the charge of a running attempt; the caller has checked that the worker has room. */
     void raise(Attempt attempt, Resources to) {
         WorkerState worker = attempt.worker;
-        Resources more = to.minus(attempt.charged);
-        worker.free = worker.free.minus(more);
+        Resources added = to.minus(attempt.charged);
+        worker.free = worker.free.minus(added);
         worker.checkNotOverfilled(attempt.id);
         if (attempt.isStopping()) {
-            worker.stopping = worker.stopping.plus(more);
+            worker.stopping = worker.stopping.plus(added);
         }
         attempt.charged = to;
         workers.reindex(worker);
         if (attempt.job != null) {
-            queues.charge(attempt.job, more);
+            queues.charge(attempt.job, added);
         }
     }
 
     /** Must follow every gain of free resources on a worker. */
-    void freed(WorkerState worker) {
+    void noteFreed(WorkerState worker) {
         freedVersion++;
         queues.changed = true;
         if (worker.isUsable()) {
--- a/library/src/main/java/io/radishspindle/placement/internal/Lifecycle.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Lifecycle.java
@@ -14,21 +14,21 @@
     private final Ledger ledger;
     private final Families families;
     private final Sizing sizing;
-    private final Stopper stopper;
+    private final AttemptStopper stopper;
     private final Timers timers;
     private final Pacer pacer = new Pacer();
     private final Explainer explainer;
 
-    Lifecycle(Parts parts) {
-        this.context = parts.context;
-        this.jobs = parts.jobs;
-        this.queues = parts.queues;
-        this.ledger = parts.ledger;
-        this.families = parts.families;
-        this.sizing = parts.sizing;
-        this.stopper = parts.stopper;
-        this.timers = parts.timers;
-        this.explainer = parts.explainer;
+    Lifecycle(Components components) {
+        this.context = components.context;
+        this.jobs = components.jobs;
+        this.queues = components.queues;
+        this.ledger = components.ledger;
+        this.families = components.families;
+        this.sizing = components.sizing;
+        this.stopper = components.stopper;
+        this.timers = components.timers;
+        this.explainer = components.explainer;
     }
 
     void accept(JobSpec spec) {
@@ -37,7 +37,7 @@
         }
         JobState job = register(spec);
         for (int i = 0; i < spec.tasks(); i++) {
-            ready(job, i);
+            enqueue(job, i);
         }
     }
 
@@ -45,7 +45,7 @@
         JobState job = new JobState(spec, families.of(spec.family()), jobs.nextSequence(), context.nowMs);
         jobs.add(job);
         job.family.jobs.add(job);
-        queues.noteJob(job);
+        queues.countWaiting(job);
         return job;
     }
 
@@ -66,8 +66,8 @@
         for (int i = 0; i < spec.tasks(); i++) {
             adoptOrphan(job, i);
         }
-        if (!endIfOver(job)) {
-            closeOpenTasksAt(job, event.openUntilMs());
+        if (!endIfFinished(job)) {
+            resolveOpenTasksAt(job, event.openUntilMs());
         }
     }
 
@@ -96,35 +96,35 @@
         return job.count(TaskPhase.READY) + job.count(TaskPhase.DELAYED) > 0;
     }
 
-    private void closeOpenTasksAt(JobState job, long atMs) {
+    private void resolveOpenTasksAt(JobState job, long atMs) {
         if (atMs > context.nowMs) {
-            timers.at(atMs, () -> closeOpenTasks(job));
+            timers.at(atMs, () -> resolveOpenTasks(job));
         } else {
-            closeOpenTasks(job);
+            resolveOpenTasks(job);
         }
     }
 
-    private void closeOpenTasks(JobState job) {
+    private void resolveOpenTasks(JobState job) {
         for (int i = 0; i < job.spec.tasks(); i++) {
             if (job.phase(i) == TaskPhase.OPEN) {
-                settle(job, i);
+                resolveOpenTask(job, i);
             }
         }
-        endIfOver(job);
+        endIfFinished(job);
     }
 
-    private void settle(JobState job, int index) {
+    private void resolveOpenTask(JobState job, int index) {
         if (job.isEnding()) {
             queues.move(job, index, TaskPhase.CANCELLED);
         } else {
-            ready(job, index);
+            enqueue(job, index);
         }
     }
 
     /** Puts a task in the queue at once. */
-    void ready(JobState job, int index) {
+    void enqueue(JobState job, int index) {
         if (job.bucket == null) {
-            job.demand = sizing.reservation(job);
+            job.demand = sizing.demandOf(job);
         }
         queues.move(job, index, TaskPhase.READY);
         if (job.isGang() && !job.live.isEmpty()) {
@@ -136,12 +136,12 @@
     void requeue(JobState job, int index, String reason, long atMs) {
         if (job.isEnding()) {
             queues.move(job, index, TaskPhase.CANCELLED);
-            endIfOver(job);
+            endIfFinished(job);
             return;
         }
         context.emit(new PlacementAction.TaskRequeued(job.task(index), reason));
         if (atMs <= context.nowMs) {
-            ready(job, index);
+            enqueue(job, index);
             return;
         }
         queues.move(job, index, TaskPhase.DELAYED);
@@ -150,7 +150,7 @@
         }
         timers.at(atMs, () -> {
             if (job.phase(index) == TaskPhase.DELAYED) {
-                ready(job, index);
+                enqueue(job, index);
             }
         });
     }
@@ -163,7 +163,7 @@
 
     void finishTask(JobState job, int index, TaskPhase phase) {
         queues.move(job, index, phase);
-        endIfOver(job);
+        endIfFinished(job);
     }
 
     void cancel(String jobId) {
@@ -172,24 +172,24 @@
             return;
         }
         job.cancelled = true;
-        dropWaiting(job);
+        cancelWaiting(job);
         stopper.stopAll(job, StopReason.CANCELLED);
-        endIfOver(job);
+        endIfFinished(job);
     }
 
     /** Ends a job that can't succeed any more: nothing of it starts again and what runs is stopped. */
-    void abandon(JobState job, JobStatus.Phase verdict, String problem) {
+    void abandon(JobState job, JobStatus.Phase endPhase, String problem) {
         if (job.isEnding()) {
             return;
         }
-        job.verdict = verdict;
+        job.endPhase = endPhase;
         job.lastProblem = problem;
-        dropWaiting(job);
+        cancelWaiting(job);
         stopper.stopAll(job, StopReason.JOB_ENDED);
-        endIfOver(job);
+        endIfFinished(job);
     }
 
-    private void dropWaiting(JobState job) {
+    private void cancelWaiting(JobState job) {
         for (int i = 0; i < job.spec.tasks(); i++) {
             if (Queues.isWaiting(job.phase(i))) {
                 queues.move(job, i, TaskPhase.CANCELLED);
@@ -198,14 +198,14 @@
     }
 
     /** Whether the job is over; if so its end is recorded. */
-    boolean endIfOver(JobState job) {
-        if (!job.isOver()) {
+    boolean endIfFinished(JobState job) {
+        if (!job.isFinished()) {
             return false;
         }
         if (jobs.get(job.spec.id()) != job) {
             return true;
         }
-        queues.noteRemoved(job);
+        queues.remove(job);
         job.family.jobs.remove(job);
         JobStatus status = explainer.finalStatus(job);
         jobs.end(job, status);
--- a/library/src/main/java/io/radishspindle/placement/internal/Overuse.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/OveruseHandler.java
@@ -9,19 +9,19 @@
  * Reacts to attempts that use more than is charged for them: the charge is raised while the worker has room; without
  * room, batch tasks are throttled (processors) or stopped (memory). Not thread-safe.
  */
-final class Overuse {
+final class OveruseHandler {
     private final Context context;
     private final Ledger ledger;
-    private final Stopper stopper;
+    private final AttemptStopper stopper;
 
-    Overuse(Parts parts) {
-        this.context = parts.context;
-        this.ledger = parts.ledger;
-        this.stopper = parts.stopper;
+    OveruseHandler(Components components) {
+        this.context = components.context;
+        this.ledger = components.ledger;
+        this.stopper = components.stopper;
     }
 
-    void note(Attempt attempt, Resources used) {
-        if (attempt.throttledBy > 0) {
+    void onUsage(Attempt attempt, Resources used) {
+        if (attempt.missingMilliCores > 0) {
             unthrottle(attempt);
         }
         Resources needed = Family.max(attempt.charged, new Resources(used.milliCores(), used.memoryMib(), 0));
@@ -29,20 +29,20 @@
             return;
         }
         Resources free = attempt.worker.free;
-        Resources more = needed.minus(attempt.charged);
+        Resources raise = needed.minus(attempt.charged);
         Resources granted = new Resources(
-                Math.max(0, Math.min(more.milliCores(), free.milliCores())),
-                Math.max(0, Math.min(more.memoryMib(), free.memoryMib())),
+                Math.max(0, Math.min(raise.milliCores(), free.milliCores())),
+                Math.max(0, Math.min(raise.memoryMib(), free.memoryMib())),
                 0);
         if (!granted.equals(Resources.NONE)) {
             ledger.raise(attempt, attempt.charged.plus(granted));
         }
-        if (!granted.equals(more)) {
-            limit(attempt, more.minus(granted));
+        if (!granted.equals(raise)) {
+            restrain(attempt, raise.minus(granted));
         }
     }
 
-    private void limit(Attempt attempt, Resources missing) {
+    private void restrain(Attempt attempt, Resources missing) {
         JobState job = attempt.job;
         boolean batch = job != null && job.spec.jobClass() == JobClass.BATCH;
         if (!batch || attempt.isStopping()) {
@@ -50,8 +50,8 @@
         }
         if (missing.memoryMib() > 0) {
             stopper.stop(attempt, StopReason.OVERUSE);
-        } else if (attempt.throttledBy == 0 && context.mayStart) {
-            attempt.throttledBy = missing.milliCores();
+        } else if (attempt.missingMilliCores == 0 && context.mayStart) {
+            attempt.missingMilliCores = missing.milliCores();
             String reason = "uses " + missing.milliCores() + " milli-cores more than its worker has left";
             context.emit(new PlacementAction.CommandTask(attempt.id, attempt.worker.id, Command.THROTTLE, reason));
         }
@@ -59,11 +59,11 @@
 
     /** Lifts the throttle when the worker has room again for what the attempt lacked. */
     private void unthrottle(Attempt attempt) {
-        if (attempt.worker.free.milliCores() < attempt.throttledBy || !context.mayStart) {
+        if (attempt.worker.free.milliCores() < attempt.missingMilliCores || !context.mayStart) {
             return;
         }
-        ledger.raise(attempt, attempt.charged.plus(new Resources(attempt.throttledBy, 0, 0)));
-        attempt.throttledBy = 0;
+        ledger.raise(attempt, attempt.charged.plus(new Resources(attempt.missingMilliCores, 0, 0)));
+        attempt.missingMilliCores = 0;
         String reason = "its worker has room again";
         context.emit(new PlacementAction.CommandTask(attempt.id, attempt.worker.id, Command.UNTHROTTLE, reason));
     }
--- a/library/src/main/java/io/radishspindle/placement/internal/PlacementEngine.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/PlacementEngine.java
@@ -14,23 +14,23 @@
 import java.util.Optional;
 
 /**
- * Dispatches events to the parts of the core and starts tasks on ticks. Not thread-safe.
+ * Dispatches events to the components of the core and starts tasks on ticks. Not thread-safe.
  *
  * <p>Invariant: tasks are started only while a tick is handled, so that all events of a batch are known first.
  */
 public final class PlacementEngine implements GroupPlacement {
-    private final Parts parts;
+    private final Components components;
     private final Context context;
-    private final TaskEvents taskEvents;
-    private final WorkerEvents workerEvents;
+    private final TaskEventHandler taskEventHandler;
+    private final WorkerEventHandler workerEventHandler;
     private final Admission admission;
 
     public PlacementEngine(PlacementPolicy policy) {
-        this.parts = new Parts(policy);
-        this.context = parts.context;
-        this.taskEvents = new TaskEvents(parts);
-        this.workerEvents = new WorkerEvents(parts);
-        this.admission = new Admission(parts);
+        this.components = new Components(policy);
+        this.context = components.context;
+        this.taskEventHandler = new TaskEventHandler(components);
+        this.workerEventHandler = new WorkerEventHandler(components);
+        this.admission = new Admission(components);
     }
 
     @Override
@@ -45,19 +45,19 @@
 
     private void dispatch(PlacementEvent event) {
         if (event instanceof PlacementEvent.Tick) {
-            tick();
+            onTick();
         } else if (event instanceof PlacementEvent.JobAccepted accepted) {
-            parts.lifecycle.accept(accepted.job());
+            components.lifecycle.accept(accepted.job());
         } else if (event instanceof PlacementEvent.JobRecovered recovered) {
-            parts.lifecycle.recover(recovered);
+            components.lifecycle.recover(recovered);
         } else if (event instanceof PlacementEvent.JobCancelled cancelled) {
-            parts.lifecycle.cancel(cancelled.jobId());
+            components.lifecycle.cancel(cancelled.jobId());
         } else if (event instanceof PlacementEvent.TaskEnded ended) {
-            taskEvents.ended(ended);
+            taskEventHandler.onTaskEnded(ended);
         } else if (event instanceof PlacementEvent.StartRefused refused) {
-            taskEvents.refused(refused);
+            taskEventHandler.onStartRefused(refused);
         } else if (event instanceof PlacementEvent.UsageReported usage) {
-            taskEvents.usage(usage);
+            taskEventHandler.onUsageReported(usage);
         } else {
             dispatchGroupEvent(event);
         }
@@ -65,33 +65,33 @@
 
     private void dispatchGroupEvent(PlacementEvent event) {
         if (event instanceof PlacementEvent.WorkerClaimed claimed) {
-            workerEvents.claimed(claimed);
+            workerEventHandler.onWorkerClaimed(claimed);
         } else if (event instanceof PlacementEvent.WorkerUnreachable unreachable) {
-            workerEvents.unreachable(unreachable.workerId());
+            workerEventHandler.onWorkerUnreachable(unreachable.workerId());
         } else if (event instanceof PlacementEvent.WorkerLost lost) {
-            workerEvents.lost(lost.workerId());
+            workerEventHandler.onWorkerLost(lost.workerId());
         } else if (event instanceof PlacementEvent.WorkerLeaving leaving) {
-            workerEvents.leaving(leaving.workerId());
+            workerEventHandler.onWorkerLeaving(leaving.workerId());
         } else if (event instanceof PlacementEvent.PolicyChanged changed) {
             context.policy = changed.policy();
-            parts.queues.changed = true;
+            components.queues.changed = true;
         } else if (event instanceof PlacementEvent.AuthorityChanged changed) {
-            changeAuthority(changed);
+            onAuthorityChanged(changed);
         }
     }
 
-    private void changeAuthority(PlacementEvent.AuthorityChanged changed) {
+    private void onAuthorityChanged(PlacementEvent.AuthorityChanged changed) {
         if (changed.epoch() < context.epoch) {
             return;
         }
         context.epoch = changed.epoch();
         context.mayStart = changed.mayStart();
-        parts.queues.changed = true;
+        components.queues.changed = true;
     }
 
-    private void tick() {
-        parts.timers.runDue(context.nowMs);
-        parts.placer.run();
+    private void onTick() {
+        components.timers.runDue(context.nowMs);
+        components.placer.run();
     }
 
     @Override
@@ -101,17 +101,17 @@
 
     @Override
     public Optional<JobStatus> status(long nowMs, String jobId) {
-        JobState job = parts.jobs.get(jobId);
+        JobState job = components.jobs.get(jobId);
         if (job != null) {
-            return Optional.of(parts.explainer.status(job, nowMs));
+            return Optional.of(components.explainer.status(job, nowMs));
         }
-        return Optional.ofNullable(parts.jobs.endedStatus(jobId));
+        return Optional.ofNullable(components.jobs.endedStatus(jobId));
     }
 
     @Override
     public List<JobStatus> statuses(long nowMs) {
-        List<JobStatus> all = new ArrayList<>(parts.jobs.ended());
-        parts.jobs.active().forEach(job -> all.add(parts.explainer.status(job, nowMs)));
+        List<JobStatus> all = new ArrayList<>(components.jobs.ended());
+        components.jobs.active().forEach(job -> all.add(components.explainer.status(job, nowMs)));
         return all;
     }
 
@@ -120,13 +120,13 @@
         Resources capacity = Resources.NONE;
         Resources free = Resources.NONE;
         Resources largest = Resources.NONE;
-        for (WorkerState worker : parts.workers.all()) {
+        for (WorkerState worker : components.workers.all()) {
             if (worker.isUsable()) {
                 capacity = capacity.plus(worker.info.capacity());
                 free = free.plus(worker.free);
                 largest = Family.max(largest, worker.info.capacity());
             }
         }
-        return new Totals(capacity, free, largest, parts.queues.waitingTasks(), parts.ledger.running());
+        return new Totals(capacity, free, largest, components.queues.waitingTasks(), components.ledger.running());
     }
 }
--- a/library/src/main/java/io/radishspindle/placement/internal/Placer.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Placer.java
@@ -13,32 +13,32 @@
 final class Placer {
     private static final long IDLE_PASS_AFTER_MS = 1_000;
     /** A task that smaller ones pass by this long gets a reservation. */
-    private static final long RESERVE_AFTER_MS = 60_000;
+    private static final long STARVED_AFTER_MS = 60_000;
 
     private final Context context;
     private final Queues queues;
     private final WorkerTable workers;
-    private final RoomMaker rooms;
+    private final Preemptor preemptor;
     private final Reservations reservations;
     private final UrgentPass urgent;
     private final GangPass gangs;
     private final FairPass fair;
-    private final GiveBack giveBack;
+    private final QuotaReclaimer quotaReclaimer;
     private long nextIdlePassAtMs;
     private long pass;
     /** Tasks that need accelerators wait, so others leave room beside idle accelerators. */
     private boolean acceleratorsWanted;
 
-    Placer(Parts parts) {
-        this.context = parts.context;
-        this.queues = parts.queues;
-        this.workers = parts.workers;
-        this.rooms = new RoomMaker(parts);
-        this.reservations = new Reservations(parts);
-        this.urgent = new UrgentPass(parts, rooms);
-        this.gangs = new GangPass(parts, reservations);
-        this.fair = new FairPass(parts, reservations);
-        this.giveBack = new GiveBack(parts, rooms);
+    Placer(Components components) {
+        this.context = components.context;
+        this.queues = components.queues;
+        this.workers = components.workers;
+        this.preemptor = new Preemptor(components);
+        this.reservations = new Reservations(components);
+        this.urgent = new UrgentPass(components, preemptor);
+        this.gangs = new GangPass(components, reservations);
+        this.fair = new FairPass(components, reservations);
+        this.quotaReclaimer = new QuotaReclaimer(components, preemptor);
     }
 
     void run() {
@@ -49,16 +49,16 @@
         queues.changed = false;
         nextIdlePassAtMs = context.nowMs + IDLE_PASS_AFTER_MS;
         pass++;
-        rooms.clear();
+        preemptor.clear();
         reservations.refresh();
         urgent.run();
-        giveBack.settleClaims();
+        quotaReclaimer.startFromHolds();
         fair.run(queues.of(JobClass.SERVICE), this::chooseForService);
         gangs.run();
-        reserveForPassedBy();
+        reserveForStarved();
         acceleratorsWanted = queues.shapes.isAnyWithAccelerators();
         fair.run(queues.of(JobClass.BATCH), this::chooseForBatch);
-        giveBack.run();
+        quotaReclaimer.run();
     }
 
     private @Nullable WorkerState chooseForService(JobState job) {
@@ -93,20 +93,20 @@
         if (worker != null) {
             reservations.noteStart(job, worker);
         } else {
-            blockIfNowhere(job);
+            blockIfNoFit(job);
         }
         return worker;
     }
 
     /** Remembers a size that fits nowhere even without earmarks and reservations. */
-    private void blockIfNowhere(JobState job) {
+    private void blockIfNoFit(JobState job) {
         Bucket bucket = job.bucket;
-        if (bucket != null && !bucket.shape.isKnownToFit(pass) && !rooms.hasEarmarks()) {
-            blockOrRemember(bucket.shape);
+        if (bucket != null && !bucket.shape.isKnownToFit(pass) && !preemptor.hasEarmarks()) {
+            blockOrNoteFit(bucket.shape);
         }
     }
 
-    private void blockOrRemember(Shape shape) {
+    private void blockOrNoteFit(Shape shape) {
         if (workers.bestFit(shape.demand, w -> true) == null) {
             queues.shapes.block(shape);
         } else {
@@ -114,19 +114,19 @@
         }
     }
 
-    private void reserveForPassedBy() {
-        reserveForOldest(queues.of(JobClass.SERVICE));
-        reserveForOldest(queues.of(JobClass.BATCH));
+    private void reserveForStarved() {
+        reserveForOldestIfStarved(queues.of(JobClass.SERVICE));
+        reserveForOldestIfStarved(queues.of(JobClass.BATCH));
     }
 
-    private void reserveForOldest(ClassQueue queue) {
+    private void reserveForOldestIfStarved(ClassQueue queue) {
         if (queue.isEmpty()) {
             return;
         }
         Bucket first = queue.bucketsByArrival().iterator().next();
         JobState oldest = first.head();
-        boolean passedBy = context.nowMs - oldest.acceptedAtMs >= RESERVE_AFTER_MS;
-        if (passedBy && first.shape.blocked) {
+        boolean starved = context.nowMs - oldest.acceptedAtMs >= STARVED_AFTER_MS;
+        if (starved && first.shape.blocked) {
             reservations.reserve(oldest, 1);
         }
     }
--- a/library/src/main/java/io/radishspindle/placement/internal/RoomMaker.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Preemptor.java
@@ -15,7 +15,7 @@
  * <p>The room is kept by earmarks, which are set anew in each pass: first on workers on which enough is being stopped
  * already, then on the worker on which the least work is lost.
  */
-final class RoomMaker {
+final class Preemptor {
     /** Keeps workers with accelerators the last choice for tasks that need none. */
     private static final double ACCELERATOR_PENALTY = 1e12;
 
@@ -23,13 +23,13 @@
 
     private final Context context;
     private final WorkerTable workers;
-    private final Stopper stopper;
+    private final AttemptStopper stopper;
     private final Set<WorkerState> earmarked = new HashSet<>();
 
-    RoomMaker(Parts parts) {
-        this.context = parts.context;
-        this.workers = parts.workers;
-        this.stopper = parts.stopper;
+    Preemptor(Components components) {
+        this.context = components.context;
+        this.workers = components.workers;
+        this.stopper = components.stopper;
     }
 
     void clear() {
@@ -43,7 +43,7 @@
 
     /** Keeps room for a task, stopping attempts if necessary; null if there can be none. */
     @Nullable
-    WorkerState makeRoom(Resources demand, Predicate<Attempt> mayStop, StopReason reason) {
+    WorkerState preemptFor(Resources demand, Predicate<Attempt> mayStop, StopReason reason) {
         Plan best = null;
         for (WorkerState worker : workers.all()) {
             if (!worker.isUsable() || !demand.fitsIn(worker.info.capacity())) {
@@ -71,15 +71,15 @@
      * Keeps what becomes free on one worker for a task for which nothing may be stopped. Otherwise smaller tasks
      * would take each part that becomes free.
      */
-    void hold(Resources demand) {
+    void earmarkLargest(Resources demand) {
         WorkerState best = null;
         double largest = -Double.MAX_VALUE;
         for (WorkerState worker : workers.all()) {
             if (worker.isUsable() && demand.fitsIn(worker.info.capacity())) {
-                double part = Amounts.part(demand, worker.freeForOthers().plus(worker.stopping));
-                if (part > largest) {
+                double ratio = ResourceRatios.fitRatio(demand, worker.freeForOthers().plus(worker.stopping));
+                if (ratio > largest) {
                     best = worker;
-                    largest = part;
+                    largest = ratio;
                 }
             }
         }
@@ -101,7 +101,7 @@
             }
         }
         candidates.sort(Comparator.comparingDouble(this::lostWork));
-        List<Attempt> victims = choose(candidates, demand, available);
+        List<Attempt> victims = chooseVictims(candidates, demand, available);
         if (victims == null) {
             return null;
         }
@@ -109,25 +109,25 @@
         return new Plan(worker, victims, lost + penalty);
     }
 
-    private @Nullable List<Attempt> choose(List<Attempt> candidates, Resources demand, Resources available) {
+    private @Nullable List<Attempt> chooseVictims(List<Attempt> candidates, Resources demand, Resources available) {
         List<Attempt> victims = new ArrayList<>();
-        Resources room = available;
+        Resources freed = available;
         for (Attempt attempt : candidates) {
-            if (demand.fitsIn(room)) {
+            if (demand.fitsIn(freed)) {
                 break;
             }
             victims.add(attempt);
-            room = room.plus(attempt.charged);
+            freed = freed.plus(attempt.charged);
         }
-        if (!demand.fitsIn(room)) {
+        if (!demand.fitsIn(freed)) {
             return null;
         }
-        return withoutNeedless(victims, demand, room);
+        return withoutUnneeded(victims, demand, freed);
     }
 
-    private static List<Attempt> withoutNeedless(List<Attempt> victims, Resources demand, Resources room) {
+    private static List<Attempt> withoutUnneeded(List<Attempt> victims, Resources demand, Resources freed) {
         List<Attempt> needed = new ArrayList<>();
-        Resources left = room;
+        Resources left = freed;
         for (int i = victims.size() - 1; i >= 0; i--) {
             Resources without = left.minus(victims.get(i).charged);
             if (demand.fitsIn(without)) {
--- a/library/src/main/java/io/radishspindle/placement/internal/Quarantine.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Quarantine.java
@@ -15,9 +15,9 @@
     /** The jobs must belong to several families, because a bad family fails on any worker. */
     private static final int MIN_FAMILIES = 2;
 
-    private static final int MAX_PART = 10;
-    private static final long FIRST_MS = 60_000;
-    private static final long MAX_MS = 1_800_000;
+    private static final int WORKERS_PER_QUARANTINE = 10;
+    private static final long FIRST_DURATION_MS = 60_000;
+    private static final long MAX_DURATION_MS = 1_800_000;
 
     private final Context context;
     private final WorkerTable workers;
@@ -25,64 +25,64 @@
     private final Timers timers;
     private int quarantined;
 
-    Quarantine(Parts parts) {
-        this.context = parts.context;
-        this.workers = parts.workers;
-        this.ledger = parts.ledger;
-        this.timers = parts.timers;
+    Quarantine(Components components) {
+        this.context = components.context;
+        this.workers = components.workers;
+        this.ledger = components.ledger;
+        this.timers = components.timers;
     }
 
     void noteSuccess(WorkerState worker) {
-        worker.failuresInRow.clear();
+        worker.consecutiveFailures.clear();
         worker.quarantines = 0;
     }
 
     void noteFailure(WorkerState worker, JobState job, int index) {
-        if (job.family.failsElsewhere(worker.id)) {
+        if (job.family.hasFailedElsewhere(worker.id)) {
             return;
         }
-        worker.failuresInRow.put(job.spec.id(), new WorkerState.FailedStart(job, index));
-        if (worker.quarantinedUntilMs == 0 && isBad(worker) && quarantined < limit()) {
+        worker.consecutiveFailures.put(job.spec.id(), new WorkerState.FailedTask(job, index));
+        if (worker.quarantinedUntilMs == 0 && isFaulty(worker) && quarantined < limit()) {
             begin(worker);
         }
     }
 
-    private static boolean isBad(WorkerState worker) {
-        Set<String> familiesSeen = new HashSet<>();
-        worker.failuresInRow.values().forEach(f -> familiesSeen.add(f.job().spec.family()));
-        return worker.failuresInRow.size() >= MIN_JOBS && familiesSeen.size() >= MIN_FAMILIES;
+    private static boolean isFaulty(WorkerState worker) {
+        Set<String> families = new HashSet<>();
+        worker.consecutiveFailures.values().forEach(f -> families.add(f.job().spec.family()));
+        return worker.consecutiveFailures.size() >= MIN_JOBS && families.size() >= MIN_FAMILIES;
     }
 
     private int limit() {
-        return Math.max(1, workers.all().size() / MAX_PART);
+        return Math.max(1, workers.all().size() / WORKERS_PER_QUARANTINE);
     }
 
     private void begin(WorkerState worker) {
-        long lengthMs = Math.min(MAX_MS, FIRST_MS << Math.min(worker.quarantines, 10));
+        long durationMs = Math.min(MAX_DURATION_MS, FIRST_DURATION_MS << Math.min(worker.quarantines, 10));
         worker.quarantines++;
-        worker.quarantinedUntilMs = context.nowMs + lengthMs;
+        worker.quarantinedUntilMs = context.nowMs + durationMs;
         quarantined++;
         workers.reindex(worker);
-        String reason = "failed tasks of " + worker.failuresInRow.size() + " different jobs in a row";
+        String reason = "failed tasks of " + worker.consecutiveFailures.size() + " different jobs in a row";
         context.emit(new PlacementAction.WorkerQuarantined(worker.id, worker.quarantinedUntilMs, reason));
-        worker.failuresInRow.values().forEach(failed -> giveBack(worker, failed));
-        worker.failuresInRow.clear();
+        worker.consecutiveFailures.values().forEach(failed -> refundFailure(worker, failed));
+        worker.consecutiveFailures.clear();
         timers.at(worker.quarantinedUntilMs, () -> end(worker));
     }
 
     /** The failure was the worker's fault, so it does not count against the job's retry budget. */
-    private void giveBack(WorkerState worker, WorkerState.FailedStart failed) {
+    private void refundFailure(WorkerState worker, WorkerState.FailedTask failed) {
         JobState job = failed.job();
         job.totalFailures = Math.max(0, job.totalFailures - 1);
         job.retriesUsed = Math.max(0, job.retriesUsed - 1);
         job.failures[failed.index()] = Math.max(0, job.failures[failed.index()] - 1);
-        job.family.forgiveFailures(1, worker.id);
+        job.family.discountFailures(1, worker.id);
     }
 
     private void end(WorkerState worker) {
         worker.quarantinedUntilMs = 0;
         quarantined--;
         workers.reindex(worker);
-        ledger.freed(worker);
+        ledger.noteFreed(worker);
     }
 }
--- a/library/src/main/java/io/radishspindle/placement/internal/Queues.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Queues.java
@@ -44,22 +44,22 @@
     }
 
     void move(JobState job, int index, TaskPhase to) {
-        boolean waited = isWaiting(job.phase(index));
+        boolean wasWaiting = isWaiting(job.phase(index));
         job.move(index, to);
-        afterMove(job, waited, isWaiting(to));
+        onPhaseChange(job, wasWaiting, isWaiting(to));
     }
 
     /** Accounts for a phase change that the job has made itself. */
-    void afterMove(JobState job, boolean waited, boolean waits) {
-        if (waited != waits) {
-            waitingTasks += waits ? 1 : -1;
+    void onPhaseChange(JobState job, boolean wasWaiting, boolean nowWaiting) {
+        if (wasWaiting != nowWaiting) {
+            waitingTasks += nowWaiting ? 1 : -1;
         }
         ClassQueue queue = of(job.spec.jobClass());
         if (job.count(TaskPhase.READY) == 0) {
             queue.remove(job);
         } else {
             queue.add(job, team(job.spec.team()));
-            changed |= waits;
+            changed |= nowWaiting;
         }
     }
 
@@ -67,11 +67,11 @@
         return phase == TaskPhase.READY || phase == TaskPhase.DELAYED;
     }
 
-    void noteJob(JobState job) {
+    void countWaiting(JobState job) {
         waitingTasks += job.count(TaskPhase.DELAYED);
     }
 
-    void noteRemoved(JobState job) {
+    void remove(JobState job) {
         of(job.spec.jobClass()).remove(job);
     }
 
--- a/library/src/main/java/io/radishspindle/placement/internal/GiveBack.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/QuotaReclaimer.java
@@ -12,7 +12,7 @@
  * <p>The room is kept for the job that it was made for. Without that, an aged job of the borrower takes it and is
  * stopped again; the replay showed 16,000 such stops for 15,600 tasks.
  */
-final class GiveBack {
+final class QuotaReclaimer {
     private static final long INTERVAL_MS = 500;
     /** Waiting that ends by itself this soon is not worth the loss of work. */
     private static final long MIN_WAIT_MS = 5_000;
@@ -21,46 +21,46 @@
     /** Bounds the searches for room in one run; with many waiting sizes most find none. */
     private static final int MAX_SEARCHES_PER_RUN = 16;
     /** A claim is given up after this, for example if a stopped task does not end. */
-    private static final long CLAIM_MS = 10_000;
+    private static final long HOLD_TIMEOUT_MS = 10_000;
 
     /** Room on a worker for one task of a job. */
-    private record Claim(JobState job, WorkerState worker, long untilMs) {}
+    private record Hold(JobState job, WorkerState worker, long untilMs) {}
 
     private final Context context;
     private final Queues queues;
     private final Ledger ledger;
-    private final RoomMaker rooms;
-    private final List<Claim> claims = new ArrayList<>();
+    private final Preemptor preemptor;
+    private final List<Hold> holds = new ArrayList<>();
     private long nextAtMs;
     private int searches;
 
-    GiveBack(Parts parts, RoomMaker rooms) {
-        this.context = parts.context;
-        this.queues = parts.queues;
-        this.ledger = parts.ledger;
-        this.rooms = rooms;
+    QuotaReclaimer(Components components, Preemptor preemptor) {
+        this.context = components.context;
+        this.queues = components.queues;
+        this.ledger = components.ledger;
+        this.preemptor = preemptor;
     }
 
     /** Starts the tasks whose room has become free and keeps the other claimed room. */
-    void settleClaims() {
-        List<Claim> open = List.copyOf(claims);
-        claims.clear();
-        for (Claim claim : open) {
-            if (!isValid(claim)) {
+    void startFromHolds() {
+        List<Hold> previous = List.copyOf(holds);
+        holds.clear();
+        for (Hold hold : previous) {
+            if (!isValid(hold)) {
                 continue;
             }
-            JobState job = claim.job();
-            if (job.demand.fitsIn(claim.worker().freeForOthers())) {
-                ledger.start(job, job.ready.nextSetBit(0), claim.worker());
+            JobState job = hold.job();
+            if (job.demand.fitsIn(hold.worker().freeForOthers())) {
+                ledger.start(job, job.ready.nextSetBit(0), hold.worker());
             } else {
-                rooms.earmark(claim.worker(), job.demand);
-                claims.add(claim);
+                preemptor.earmark(hold.worker(), job.demand);
+                holds.add(hold);
             }
         }
     }
 
-    private boolean isValid(Claim claim) {
-        return claim.job().bucket != null && claim.worker().isUsable() && context.nowMs < claim.untilMs();
+    private boolean isValid(Hold hold) {
+        return hold.job().bucket != null && hold.worker().isUsable() && context.nowMs < hold.untilMs();
     }
 
     void run() {
@@ -84,7 +84,7 @@
                 if (left == 0 || searches >= MAX_SEARCHES_PER_RUN) {
                     return 0;
                 }
-                if (isOwed(team, bucket) && reclaimFor(bucket.head(), team)) {
+                if (mayReclaim(team, bucket) && reclaimFor(bucket.head(), team)) {
                     left--;
                 }
             }
@@ -94,27 +94,27 @@
 
     private boolean reclaimFor(JobState job, Team team) {
         searches++;
-        WorkerState worker = rooms.makeRoom(job.demand, a -> isBorrowed(a, team), StopReason.RECLAIMED);
+        WorkerState worker = preemptor.preemptFor(job.demand, a -> isBorrowed(a, team), StopReason.RECLAIMED);
         if (worker == null) {
             return false;
         }
-        claims.add(new Claim(job, worker, context.nowMs + CLAIM_MS));
+        holds.add(new Hold(job, worker, context.nowMs + HOLD_TIMEOUT_MS));
         return true;
     }
 
-    private boolean isOwed(Team team, Bucket bucket) {
+    private boolean mayReclaim(Team team, Bucket bucket) {
         JobState head = bucket.head();
         long waitedMs = context.nowMs - head.acceptedAtMs;
         return bucket.shape.blocked
                 && waitedMs >= MIN_WAIT_MS
-                && claims.stream().noneMatch(claim -> claim.job() == head)
-                && shareWith(team, bucket.demand) <= 1;
+                && holds.stream().noneMatch(hold -> hold.job() == head)
+                && shareAfter(team, bucket.demand) <= 1;
     }
 
-    private double shareWith(Team team, Resources more) {
-        Team later = new Team(team.name);
-        later.used = team.used.plus(more);
-        return later.share(context.policy);
+    private double shareAfter(Team team, Resources added) {
+        Team projected = new Team(team.name);
+        projected.used = team.used.plus(added);
+        return projected.share(context.policy);
     }
 
     private boolean isBorrowed(Attempt attempt, Team claimant) {
--- a/library/src/main/java/io/radishspindle/placement/internal/Reservations.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Reservations.java
@@ -22,15 +22,15 @@
 
     private static final long REPLAN_AFTER_MS = 1_000;
 
-    private record End(long atMs, Attempt attempt) {}
+    private record ExpectedEnd(long atMs, Attempt attempt) {}
 
     private final Context context;
     private final WorkerTable workers;
     private final List<Reservation> active = new ArrayList<>();
 
-    Reservations(Parts parts) {
-        this.context = parts.context;
-        this.workers = parts.workers;
+    Reservations(Components components) {
+        this.context = components.context;
+        this.workers = components.workers;
     }
 
     /** Drops reservations whose job has started or ended. */
@@ -95,53 +95,53 @@
     }
 
     private @Nullable Reservation plan(JobState job, int count, @Nullable Reservation known) {
-        Map<WorkerState, Resources> future = new HashMap<>();
-        List<End> ends = new ArrayList<>();
+        Map<WorkerState, Resources> futureFree = new HashMap<>();
+        List<ExpectedEnd> ends = new ArrayList<>();
         int fits = 0;
         for (WorkerState worker : workers.all()) {
             if (worker.isUsable() && !isReserved(worker)) {
-                future.put(worker, worker.free);
+                futureFree.put(worker, worker.free);
                 fits += WorkerTable.fitCount(job.demand, worker.free, count);
-                worker.attempts.values().forEach(a -> ends.add(new End(expectedEndAtMs(a), a)));
+                worker.attempts.values().forEach(a -> ends.add(new ExpectedEnd(expectedEndAtMs(a), a)));
             }
         }
-        ends.sort(Comparator.comparingLong(End::atMs));
+        ends.sort(Comparator.comparingLong(ExpectedEnd::atMs));
         long shadowAtMs = context.nowMs;
-        Iterator<End> next = ends.iterator();
+        Iterator<ExpectedEnd> next = ends.iterator();
         while (fits < count && next.hasNext()) {
-            End end = next.next();
+            ExpectedEnd end = next.next();
             shadowAtMs = end.atMs();
-            fits += advance(future, end.attempt(), job.demand, count);
+            fits += releaseAtEnd(futureFree, end.attempt(), job.demand, count);
         }
         if (fits < count || shadowAtMs == Long.MAX_VALUE) {
             return null;
         }
         long first = known == null ? shadowAtMs : known.firstShadowAtMs;
-        return new Reservation(job, shadowAtMs, first, context.nowMs, slack(future, job.demand, count));
+        return new Reservation(job, shadowAtMs, first, context.nowMs, slack(futureFree, job.demand, count));
     }
 
-    private static int advance(Map<WorkerState, Resources> future, Attempt attempt, Resources demand, int count) {
-        Resources before = future.getOrDefault(attempt.worker, Resources.NONE);
+    private static int releaseAtEnd(Map<WorkerState, Resources> futureFree, Attempt attempt, Resources demand, int count) {
+        Resources before = futureFree.getOrDefault(attempt.worker, Resources.NONE);
         Resources after = before.plus(attempt.charged);
-        future.put(attempt.worker, after);
+        futureFree.put(attempt.worker, after);
         return WorkerTable.fitCount(demand, after, count) - WorkerTable.fitCount(demand, before, count);
     }
 
-    private static Map<WorkerState, Resources> slack(Map<WorkerState, Resources> future, Resources demand, int count) {
-        List<WorkerState> order = new ArrayList<>(future.keySet());
+    private static Map<WorkerState, Resources> slack(Map<WorkerState, Resources> futureFree, Resources demand, int count) {
+        List<WorkerState> order = new ArrayList<>(futureFree.keySet());
         Comparator<WorkerState> byFit = Comparator.comparingInt(
-                w -> -WorkerTable.fitCount(demand, future.getOrDefault(w, Resources.NONE), count));
+                w -> -WorkerTable.fitCount(demand, futureFree.getOrDefault(w, Resources.NONE), count));
         order.sort(byFit.thenComparing((WorkerState w) -> w.id));
         Map<WorkerState, Resources> slack = new HashMap<>();
-        int missing = count;
+        int remaining = count;
         for (WorkerState worker : order) {
-            Resources free = future.getOrDefault(worker, Resources.NONE);
-            int here = WorkerTable.fitCount(demand, free, missing);
-            if (here == 0) {
+            Resources free = futureFree.getOrDefault(worker, Resources.NONE);
+            int tasksHere = WorkerTable.fitCount(demand, free, remaining);
+            if (tasksHere == 0) {
                 break;
             }
-            slack.put(worker, free.minus(demand.times(here)));
-            missing -= here;
+            slack.put(worker, free.minus(demand.times(tasksHere)));
+            remaining -= tasksHere;
         }
         return slack;
     }
--- a/library/src/main/java/io/radishspindle/placement/internal/Amounts.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/ResourceRatios.java
@@ -3,11 +3,11 @@
 import io.radishspindle.model.Resources;
 
 /** Comparisons of amounts of resources. Holds no state. */
-final class Amounts {
-    private Amounts() {}
+final class ResourceRatios {
+    private ResourceRatios() {}
 
     /** The smallest part of the demand, over the resources, that is free; at least 1 if the demand fits. */
-    static double part(Resources demand, Resources free) {
+    static double fitRatio(Resources demand, Resources free) {
         return Math.min(
                 ratio(free.milliCores(), demand.milliCores()),
                 Math.min(
--- a/library/src/main/java/io/radishspindle/placement/internal/Sizing.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Sizing.java
@@ -14,14 +14,14 @@
      * The declared size, raised to the usage learnt for the family. If the raised size, or a gang of it, would fit on
      * no set of workers, the declared size is kept, because a job that was accepted must be able to start.
      */
-    Resources reservation(JobState job) {
+    Resources demandOf(JobState job) {
         Resources declared = job.spec.perTask();
-        Resources raised = job.family.reservation(declared);
-        if (raised.equals(declared)) {
+        Resources observed = job.family.demandFor(declared);
+        if (observed.equals(declared)) {
             return declared;
         }
-        int needed = job.isGang() ? job.spec.tasks() : 1;
-        return capacityFor(raised, needed) >= needed ? raised : declared;
+        int taskCount = job.isGang() ? job.spec.tasks() : 1;
+        return capacityFor(observed, taskCount) >= taskCount ? observed : declared;
     }
 
     /** How many tasks of a size the empty workers hold together, counted up to {@code atMost}. */
--- a/library/src/main/java/io/radishspindle/placement/internal/TaskEvents.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/TaskEventHandler.java
@@ -13,9 +13,9 @@
 import org.jspecify.annotations.Nullable;
 
 /** Handles what workers report about attempts. Not thread-safe. */
-final class TaskEvents {
+final class TaskEventHandler {
     /** Ended attempts that are remembered, so that a repeated report is recognised. */
-    private static final int MAX_REMEMBERED = 8_192;
+    private static final int MAX_ENDED_ATTEMPTS = 8_192;
 
     private final Context context;
     private final Jobs jobs;
@@ -24,35 +24,35 @@
     private final Lifecycle lifecycle;
     private final Quarantine quarantine;
     private final FailurePolicy failures;
-    private final Overuse overuse;
-    private final Map<TaskAttempt, Boolean> ended = new LinkedHashMap<>() {
+    private final OveruseHandler overuseHandler;
+    private final Map<TaskAttempt, Boolean> endedAttempts = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<TaskAttempt, Boolean> eldest) {
-            return size() > MAX_REMEMBERED;
+            return size() > MAX_ENDED_ATTEMPTS;
         }
     };
 
-    TaskEvents(Parts parts) {
-        this.context = parts.context;
-        this.jobs = parts.jobs;
-        this.workers = parts.workers;
-        this.ledger = parts.ledger;
-        this.lifecycle = parts.lifecycle;
-        this.quarantine = parts.quarantine;
-        this.failures = new FailurePolicy(parts);
-        this.overuse = new Overuse(parts);
+    TaskEventHandler(Components components) {
+        this.context = components.context;
+        this.jobs = components.jobs;
+        this.workers = components.workers;
+        this.ledger = components.ledger;
+        this.lifecycle = components.lifecycle;
+        this.quarantine = components.quarantine;
+        this.failures = new FailurePolicy(components);
+        this.overuseHandler = new OveruseHandler(components);
     }
 
-    void ended(TaskEnded event) {
-        if (ended.containsKey(event.attempt())) {
+    void onTaskEnded(TaskEnded event) {
+        if (endedAttempts.containsKey(event.attempt())) {
             return;
         }
-        Attempt attempt = charged(event.attempt(), event.workerId());
+        Attempt attempt = chargedAttempt(event.attempt(), event.workerId());
         if (attempt == null) {
-            lateEnd(event);
+            onUnchargedEnd(event);
             return;
         }
-        ended.put(event.attempt(), true);
+        endedAttempts.put(event.attempt(), true);
         ledger.release(attempt);
         JobState job = attempt.job;
         if (job == null) {
@@ -60,10 +60,10 @@
             return;
         }
         job.family.notePeak(attempt.peak);
-        endLive(event, attempt, job);
+        onLiveEnd(event, attempt, job);
     }
 
-    private void endLive(TaskEnded event, Attempt attempt, JobState job) {
+    private void onLiveEnd(TaskEnded event, Attempt attempt, JobState job) {
         int index = event.attempt().task().index();
         boolean service = job.spec.jobClass() == JobClass.SERVICE;
         if (event.outcome() == TaskOutcome.SUCCEEDED && !service) {
@@ -76,7 +76,7 @@
             lifecycle.finishTask(job, index, TaskPhase.CANCELLED);
         } else if (event.outcome() == TaskOutcome.FAILED && !attempt.isStopping()) {
             quarantine.noteFailure(attempt.worker, job, index);
-            record(event, failures.failed(job, index, attempt, event.detail()));
+            record(event, failures.onFailure(job, index, attempt, event.detail()));
         } else {
             record(event, false);
             requeueStopped(event, attempt, job, index);
@@ -90,21 +90,21 @@
         } else if (event.outcome() == TaskOutcome.LEASE_EXPIRED) {
             lifecycle.requeueAfterLoss(job, index, "its lease expired on worker " + event.workerId());
         } else if (event.outcome() == TaskOutcome.SUCCEEDED) {
-            failures.serviceExited(job, index, attempt);
+            failures.onServiceExit(job, index, attempt);
         } else {
             lifecycle.requeue(job, index, "stopped by worker " + event.workerId(), context.nowMs);
         }
     }
 
     /** An attempt ended that is not charged, for example one of an earlier owner or of a worker given up as lost. */
-    private void lateEnd(TaskEnded event) {
+    private void onUnchargedEnd(TaskEnded event) {
         int index = event.attempt().task().index();
         JobState job = jobs.get(event.attempt().task().jobId());
         if (event.attempt().epoch() > context.epoch) {
             return;
         }
         if (job == null || !job.hasTask(index)) {
-            ended.put(event.attempt(), true);
+            endedAttempts.put(event.attempt(), true);
             record(event, event.outcome() == TaskOutcome.SUCCEEDED);
             return;
         }
@@ -112,7 +112,7 @@
         if (live != null && live.id.equals(event.attempt())) {
             return;
         }
-        ended.put(event.attempt(), true);
+        endedAttempts.put(event.attempt(), true);
         boolean completes = event.outcome() == TaskOutcome.SUCCEEDED
                 && job.spec.jobClass() != JobClass.SERVICE
                 && live == null
@@ -127,32 +127,32 @@
         context.emit(new PlacementAction.RecordAttempt(event.attempt(), event.workerId(), event.outcome(), completed));
     }
 
-    void refused(StartRefused event) {
-        Attempt attempt = charged(event.attempt(), event.workerId());
+    void onStartRefused(StartRefused event) {
+        Attempt attempt = chargedAttempt(event.attempt(), event.workerId());
         if (attempt == null) {
             return;
         }
         ledger.release(attempt);
-        ended.put(event.attempt(), true);
+        endedAttempts.put(event.attempt(), true);
         JobState job = attempt.job;
         if (job != null) {
             lifecycle.requeue(
-                    job, event.attempt().task().index(), "start refused: " + event.reason(), failures.refusedUntil());
+                    job, event.attempt().task().index(), "start refused: " + event.reason(), failures.retryRefusedAtMs());
         }
     }
 
-    void usage(UsageReported event) {
+    void onUsageReported(UsageReported event) {
         JobState job = jobs.get(event.attempt().task().jobId());
         Attempt attempt =
                 job == null ? null : job.live.get(event.attempt().task().index());
         if (attempt != null && attempt.id.equals(event.attempt())) {
             Resources used = event.used();
             attempt.peak = Family.max(attempt.peak, used);
-            overuse.note(attempt, used);
+            overuseHandler.onUsage(attempt, used);
         }
     }
 
-    private @Nullable Attempt charged(TaskAttempt id, String workerId) {
+    private @Nullable Attempt chargedAttempt(TaskAttempt id, String workerId) {
         WorkerState worker = workers.get(workerId);
         return worker == null ? null : worker.attempts.get(id);
     }
--- a/library/src/main/java/io/radishspindle/placement/internal/Team.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Team.java
@@ -15,13 +15,13 @@
     /** The largest part of its quota that the team uses of any resource; above 1 it borrows. */
     double share(PlacementPolicy policy) {
         Resources quota = policy.quotaOf(name);
-        double cores = part(used.milliCores(), quota.milliCores());
-        double memory = part(used.memoryMib(), quota.memoryMib());
-        double accelerators = part(used.accelerators(), quota.accelerators());
+        double cores = fraction(used.milliCores(), quota.milliCores());
+        double memory = fraction(used.memoryMib(), quota.memoryMib());
+        double accelerators = fraction(used.accelerators(), quota.accelerators());
         return Math.max(cores, Math.max(memory, accelerators));
     }
 
-    private static double part(long used, long quota) {
+    private static double fraction(long used, long quota) {
         if (used <= 0) {
             return 0;
         }
--- a/library/src/main/java/io/radishspindle/placement/internal/UrgentPass.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/UrgentPass.java
@@ -6,20 +6,20 @@
 /** Starts urgent tasks in order of arrival and makes room for those that find none. Not thread-safe. */
 final class UrgentPass {
     /** Bounds the work of one pass; the next pass continues. */
-    private static final int MAX_ROOM_PER_PASS = 64;
+    private static final int MAX_TASKS_PER_PASS = 64;
 
     private final Context context;
     private final Queues queues;
     private final WorkerTable workers;
     private final Ledger ledger;
-    private final RoomMaker rooms;
+    private final Preemptor preemptor;
 
-    UrgentPass(Parts parts, RoomMaker rooms) {
-        this.context = parts.context;
-        this.queues = parts.queues;
-        this.workers = parts.workers;
-        this.ledger = parts.ledger;
-        this.rooms = rooms;
+    UrgentPass(Components components, Preemptor preemptor) {
+        this.context = components.context;
+        this.queues = components.queues;
+        this.workers = components.workers;
+        this.ledger = components.ledger;
+        this.preemptor = preemptor;
     }
 
     void run() {
@@ -27,11 +27,11 @@
         if (queue.isEmpty()) {
             return;
         }
-        int budget = MAX_ROOM_PER_PASS;
+        int budget = MAX_TASKS_PER_PASS;
         for (Bucket bucket : new ArrayList<>(queue.bucketsByArrival())) {
             startAll(bucket);
             if (budget > 0 && context.policy.preemptForUrgent()) {
-                budget -= makeRoom(bucket, budget);
+                budget -= preemptForWaiting(bucket, budget);
             }
         }
     }
@@ -41,7 +41,7 @@
             JobState job = bucket.head();
             WorkerState worker = workers.bestFit(bucket.demand, w -> true);
             if (worker == null) {
-                if (!rooms.hasEarmarks()) {
+                if (!preemptor.hasEarmarks()) {
                     queues.shapes.block(bucket.shape);
                 }
                 return;
@@ -50,7 +50,7 @@
         }
     }
 
-    private int makeRoom(Bucket bucket, int atMost) {
+    private int preemptForWaiting(Bucket bucket, int atMost) {
         int wanted = 0;
         for (JobState job : bucket.jobs.values()) {
             wanted = Math.min(atMost, wanted + job.count(TaskPhase.READY));
@@ -59,8 +59,8 @@
             }
         }
         for (int i = 0; i < wanted; i++) {
-            if (rooms.makeRoom(bucket.demand, UrgentPass::isBatch, StopReason.URGENT) == null) {
-                rooms.hold(bucket.demand);
+            if (preemptor.preemptFor(bucket.demand, UrgentPass::isBatch, StopReason.URGENT) == null) {
+                preemptor.earmarkLargest(bucket.demand);
                 return i + 1;
             }
         }
--- a/library/src/main/java/io/radishspindle/placement/internal/WorkerEvents.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/WorkerEventHandler.java
@@ -12,7 +12,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** Handles claims, losses and departures of workers. Not thread-safe. */
-final class WorkerEvents {
+final class WorkerEventHandler {
     /** How long a lost worker still counts as part of the group, in case it comes back. */
     private static final long FORGET_LOST_AFTER_MS = 600_000;
 
@@ -21,37 +21,37 @@
     private final WorkerTable workers;
     private final Ledger ledger;
     private final Lifecycle lifecycle;
-    private final Stopper stopper;
+    private final AttemptStopper stopper;
     private final Timers timers;
 
-    WorkerEvents(Parts parts) {
-        this.context = parts.context;
-        this.jobs = parts.jobs;
-        this.workers = parts.workers;
-        this.ledger = parts.ledger;
-        this.lifecycle = parts.lifecycle;
-        this.stopper = parts.stopper;
-        this.timers = parts.timers;
+    WorkerEventHandler(Components components) {
+        this.context = components.context;
+        this.jobs = components.jobs;
+        this.workers = components.workers;
+        this.ledger = components.ledger;
+        this.lifecycle = components.lifecycle;
+        this.stopper = components.stopper;
+        this.timers = components.timers;
     }
 
-    void claimed(WorkerClaimed event) {
-        WorkerState worker = enter(event.worker());
+    void onWorkerClaimed(WorkerClaimed event) {
+        WorkerState worker = register(event.worker());
         Set<TaskAttempt> reported = new HashSet<>();
         event.running().forEach(r -> reported.add(r.attempt()));
         for (Attempt known : new ArrayList<>(worker.attempts.values())) {
             if (!reported.contains(known.id)) {
-                vanish(known);
+                releaseVanished(known);
             }
         }
         for (RunningTask running : event.running()) {
             if (!worker.attempts.containsKey(running.attempt())) {
-                take(worker, running);
+                chargeReported(worker, running);
             }
         }
-        ledger.freed(worker);
+        ledger.noteFreed(worker);
     }
 
-    private WorkerState enter(WorkerInfo info) {
+    private WorkerState register(WorkerInfo info) {
         WorkerState worker = workers.get(info.id());
         if (worker == null) {
             worker = new WorkerState(info);
@@ -67,7 +67,7 @@
     }
 
     /** An attempt does not run any more, though its end was not reported. */
-    private void vanish(Attempt attempt) {
+    private void releaseVanished(Attempt attempt) {
         ledger.release(attempt);
         JobState job = attempt.job;
         if (job != null) {
@@ -76,12 +76,12 @@
         }
     }
 
-    private void take(WorkerState worker, RunningTask running) {
+    private void chargeReported(WorkerState worker, RunningTask running) {
         TaskAttempt id = running.attempt();
         Attempt attempt = new Attempt(id, null, worker, running.reserved(), context.nowMs);
         JobState job = jobs.get(id.task().jobId());
         int index = id.task().index();
-        if (job != null && job.hasTask(index) && mayAdopt(job, index)) {
+        if (job != null && job.hasTask(index) && canAdopt(job, index)) {
             lifecycle.adopt(job, attempt);
             return;
         }
@@ -91,20 +91,20 @@
         }
     }
 
-    private static boolean mayAdopt(JobState job, int index) {
+    private static boolean canAdopt(JobState job, int index) {
         TaskPhase phase = job.phase(index);
         return !phase.isFinal() && phase != TaskPhase.LIVE;
     }
 
-    void unreachable(String workerId) {
-        change(workerId, WorkerState.Condition.UNREACHABLE);
+    void onWorkerUnreachable(String workerId) {
+        changeCondition(workerId, WorkerState.Condition.UNREACHABLE);
     }
 
-    void leaving(String workerId) {
-        change(workerId, WorkerState.Condition.LEAVING);
+    void onWorkerLeaving(String workerId) {
+        changeCondition(workerId, WorkerState.Condition.LEAVING);
     }
 
-    private void change(String workerId, WorkerState.Condition to) {
+    private void changeCondition(String workerId, WorkerState.Condition to) {
         WorkerState worker = workers.get(workerId);
         if (worker != null && worker.condition != WorkerState.Condition.LOST) {
             worker.condition = to;
@@ -112,7 +112,7 @@
         }
     }
 
-    void lost(String workerId) {
+    void onWorkerLost(String workerId) {
         WorkerState worker = workers.get(workerId);
         if (worker == null || worker.condition == WorkerState.Condition.LOST) {
             return;
@@ -121,12 +121,12 @@
         worker.lostAtMs = context.nowMs;
         workers.reindex(worker);
         for (Attempt attempt : new ArrayList<>(worker.attempts.values())) {
-            lose(attempt);
+            loseAttempt(attempt);
         }
         timers.at(context.nowMs + FORGET_LOST_AFTER_MS, () -> forget(worker));
     }
 
-    private void lose(Attempt attempt) {
+    private void loseAttempt(Attempt attempt) {
         ledger.release(attempt);
         JobState job = attempt.job;
         if (job == null) {
--- a/library/src/main/java/io/radishspindle/placement/internal/WorkerState.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/WorkerState.java
@@ -36,12 +36,12 @@
     long quarantinedUntilMs;
     int quarantines;
     /** Successive failures, by job; cleared by a success. */
-    final Map<String, FailedStart> failuresInRow = new LinkedHashMap<>();
+    final Map<String, FailedTask> consecutiveFailures = new LinkedHashMap<>();
 
     int level = -1;
 
     /** A failure on this worker, kept so that a quarantine can give the attempt back to the job. */
-    record FailedStart(JobState job, int index) {}
+    record FailedTask(JobState job, int index) {}
 
     WorkerState(WorkerInfo info) {
         this.id = info.id();
--- a/library/src/main/java/io/radishspindle/placement/internal/WorkerTable.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/WorkerTable.java
@@ -92,9 +92,9 @@
     @Nullable
     WorkerState bestFit(Resources demand, Predicate<WorkerState> allowed) {
         if (demand.accelerators() == 0) {
-            WorkerState plain = bestInTier(tiers.get(0), demand, allowed);
-            if (plain != null) {
-                return plain;
+            WorkerState withoutAccelerators = bestInTier(tiers.get(0), demand, allowed);
+            if (withoutAccelerators != null) {
+                return withoutAccelerators;
             }
         }
         return bestInTier(tiers.get(1), demand, allowed);
@@ -106,14 +106,14 @@
      */
     static boolean leavesAcceleratorsUsable(WorkerState worker, Resources demand) {
         Resources capacity = worker.info.capacity();
-        long idle = worker.free.accelerators();
-        if (demand.accelerators() > 0 || idle <= 0) {
+        long idleAccelerators = worker.free.accelerators();
+        if (demand.accelerators() > 0 || idleAccelerators <= 0) {
             return true;
         }
         long shares = 4L * capacity.accelerators();
         Resources left = worker.free.minus(demand);
-        return left.milliCores() >= capacity.milliCores() * idle / shares
-                && left.memoryMib() >= capacity.memoryMib() * idle / shares;
+        return left.milliCores() >= capacity.milliCores() * idleAccelerators / shares
+                && left.memoryMib() >= capacity.memoryMib() * idleAccelerators / shares;
     }
 
     private @Nullable WorkerState bestInTier(
@@ -139,20 +139,20 @@
     }
 
     /**
-     * How much of the worker would stay unused, with a penalty for leaving unlike parts of processors and memory,
+     * How much of the worker would stay unused, with a penalty for leaving unlike components of processors and memory,
      * which later tasks could not use together. A worker that has just failed tasks is used last.
      */
     static double leftover(WorkerState worker, Resources demand) {
         Resources capacity = worker.info.capacity();
         Resources free = worker.free;
-        double cores = part(free.milliCores() - demand.milliCores(), capacity.milliCores());
-        double memory = part(free.memoryMib() - demand.memoryMib(), capacity.memoryMib());
-        double accelerators = part(free.accelerators() - demand.accelerators(), capacity.accelerators());
-        double suspicion = 10.0 * worker.failuresInRow.size();
-        return cores + memory + accelerators + Math.abs(cores - memory) + suspicion;
+        double cores = fraction(free.milliCores() - demand.milliCores(), capacity.milliCores());
+        double memory = fraction(free.memoryMib() - demand.memoryMib(), capacity.memoryMib());
+        double accelerators = fraction(free.accelerators() - demand.accelerators(), capacity.accelerators());
+        double failurePenalty = 10.0 * worker.consecutiveFailures.size();
+        return cores + memory + accelerators + Math.abs(cores - memory) + failurePenalty;
     }
 
-    private static double part(long amount, long of) {
+    private static double fraction(long amount, long of) {
         return of <= 0 ? 0 : (double) amount / of;
     }
 
@@ -165,7 +165,7 @@
         return (int) Math.max(0, count);
     }
 
-    private static long fitCount(long demand, long free, long otherwise) {
-        return demand <= 0 ? otherwise : free / demand;
+    private static long fitCount(long demand, long free, long ifNoDemand) {
+        return demand <= 0 ? ifNoDemand : free / demand;
     }
 }
