--- a/library/src/test/java/io/radishspindle/placement/ActionChecker.java
+++ b/library/src/test/java/io/radishspindle/placement/ActionChecker.java
@@ -18,13 +18,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Checks the guarantees from the actions and from what the workers would hold; knows nothing of the core's state. Not
- * thread-safe.
+ * Checks the invariants of the placement core on its actions and on the attempts that the workers would run, without
+ * access to the core's state. Not thread-safe.
  */
 final class ActionChecker {
     final Map<String, WorkerInfo> workers = new LinkedHashMap<>();
     final Set<String> usable = new HashSet<>();
-    /** What runs on each worker, as the workers would tell. */
+    /** Attempts on each worker, as the workers would report them. */
     final Map<String, Map<TaskAttempt, Resources>> running = new LinkedHashMap<>();
 
     final Map<String, JobSpec> jobs = new LinkedHashMap<>();
@@ -75,8 +75,8 @@
                 .as("%s reserves its declared size", attempt)
                 .isTrue();
         everStarted.add(attempt);
-        holds(worker).put(attempt, start.reserved());
-        Resources sum = holds(worker).values().stream().reduce(Resources.NONE, Resources::plus);
+        attemptsOn(worker).put(attempt, start.reserved());
+        Resources sum = attemptsOn(worker).values().stream().reduce(Resources.NONE, Resources::plus);
         assertThat(sum.fitsIn(infoOf(worker).capacity()))
                 .as("%s on %s within capacity", sum, worker)
                 .isTrue();
@@ -92,8 +92,8 @@
         JobSpec job = jobOf(new TaskAttempt(new TaskId(jobId, 0), 0, 0));
         for (int i = 0; i < job.tasks(); i++) {
             TaskId task = new TaskId(jobId, i);
-            boolean settled = completed.contains(task) || whereRunning(task) != null;
-            assertThat(settled).as("%s runs with its gang", task).isTrue();
+            boolean endedOrRunning = completed.contains(task) || whereRunning(task) != null;
+            assertThat(endedOrRunning).as("%s runs with its gang", task).isTrue();
         }
     }
 
@@ -107,7 +107,7 @@
         return null;
     }
 
-    Map<TaskAttempt, Resources> holds(String worker) {
+    Map<TaskAttempt, Resources> attemptsOn(String worker) {
         return running.computeIfAbsent(worker, id -> new LinkedHashMap<>());
     }
 
--- a/library/src/test/java/io/radishspindle/placement/ClassPoliciesTest.java
+++ b/library/src/test/java/io/radishspindle/placement/ClassPoliciesTest.java
@@ -19,13 +19,13 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** The policy of each class of jobs. */
+/** Placement rules of each job class: preemption, spreading, gangs, backfilling and cancellation. */
 class ClassPoliciesTest {
     private final GroupFake group = new GroupFake();
 
     /** Guards against urgent work that waits behind batch work on a full group. */
     @Test
-    void should_stop_batch_tasks_when_urgent_work_finds_no_room() {
+    void should_preempt_batch_tasks_when_urgent_work_does_not_fit() {
         // given
         group.claimAll(2, 1, cores(4));
         group.accept(job("batch", JobClass.BATCH, 8, cores(1)));
@@ -41,7 +41,7 @@
 
     /** Guards against an urgent task that waits for a checkpoint that never ends, and against further victims. */
     @Test
-    void should_give_up_a_slow_checkpoint_for_urgent_work() {
+    void should_abandon_a_slow_checkpoint_for_urgent_work() {
         // given
         group.claimAll(1, 1, cores(4));
         group.accept(job("batch", JobClass.BATCH, 4, cores(1)));
@@ -60,7 +60,7 @@
 
     /** Guards against preemption that the operators have switched off. */
     @Test
-    void should_stop_nothing_for_urgent_work_when_the_policy_forbids_it() {
+    void should_preempt_nothing_for_urgent_work_when_the_policy_forbids_it() {
         // given
         GroupFake strict = new GroupFake(new PlacementPolicy(cores(100), Map.of(), 100, false));
         strict.claimAll(1, 1, cores(2));
@@ -73,7 +73,7 @@
         assertThat(strict.all(CommandTask.class)).isEmpty();
     }
 
-    /** Guards against replicas that one rack failure takes down together. */
+    /** Guards against replicas that share a rack, so that one rack failure stops them together. */
     @Test
     void should_spread_the_replicas_of_a_service_over_racks() {
         // given
@@ -123,7 +123,7 @@
         assertThat(group.live("gang")).hasSize(4);
     }
 
-    /** Guards against a gang that small tasks pass by for ever, and against reserved room left idle needlessly. */
+    /** Guards against a gang that small tasks starve, and against reserved capacity left idle needlessly. */
     @Test
     void should_backfill_only_tasks_that_end_before_the_reservation() {
         // given
@@ -145,7 +145,7 @@
                 job.id(), job.team(), job.family(), job.jobClass(), job.tasks(), job.perTask(), runMs, 3, Map.of());
     }
 
-    /** Guards against a gang that goes on with a member missing. */
+    /** Guards against a gang that continues after one of its tasks was lost. */
     @Test
     void should_stop_and_restart_the_whole_gang_when_a_member_is_lost() {
         // given
@@ -178,7 +178,7 @@
         assertThat(perWorker).containsEntry("plain", 16L).containsEntry("gpu", 1L);
     }
 
-    /** Guards against a cancelled job that keeps running or is reported as over too early. */
+    /** Guards against a cancelled job that keeps running or is reported as ended too early. */
     @Test
     void should_stop_a_cancelled_job_and_end_it_after_its_last_attempt() {
         // given
@@ -196,9 +196,9 @@
         assertThat(group.all(RecordAttempt.class)).hasSize(2).allMatch(RecordAttempt::taskCompleted);
     }
 
-    /** Guards against an urgent task that smaller tasks pass by where nothing may be stopped. */
+    /** Guards against smaller tasks that starve an urgent task when nothing may be preempted. */
     @Test
-    void should_hold_room_for_urgent_work_where_nothing_may_be_stopped() {
+    void should_earmark_capacity_for_urgent_work_when_nothing_may_be_preempted() {
         // given
         group.claimAll(1, 1, cores(2));
         group.accept(job("first", JobClass.ALL_AT_ONCE, 1, cores(1)));
--- a/library/src/test/java/io/radishspindle/placement/FailuresTest.java
+++ b/library/src/test/java/io/radishspindle/placement/FailuresTest.java
@@ -15,13 +15,13 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Failing tasks, families and workers; losses and recovery. */
+/** Reactions to failing tasks, families and workers, to lost workers and to a change of owner. */
 class FailuresTest {
     private final GroupFake group = new GroupFake();
 
-    /** Guards against endless retries. */
+    /** Guards against a failing task that is retried without limit. */
     @Test
-    void should_fail_a_job_after_its_attempts() {
+    void should_fail_a_job_after_its_last_attempt() {
         // given
         group.claimAll(4, 1, cores(8));
         group.accept(job("bad", JobClass.BATCH, 1, cores(1)));
@@ -40,9 +40,9 @@
         }
     }
 
-    /** Guards against a family that uses up the group with failures, and against punishing the others for it. */
+    /** Guards against a family whose failures use up the group, and against delays of other jobs because of it. */
     @Test
-    void should_set_a_family_aside_that_always_fails() {
+    void should_set_aside_a_family_that_fails_consistently() {
         // given
         group.claimAll(4, 1, cores(1));
         for (int i = 0; i < 4; i++) {
@@ -58,7 +58,7 @@
         assertThat(group.all(WorkerQuarantined.class)).isEmpty();
     }
 
-    /** Guards against a worker that swallows jobs by failing them at once. */
+    /** Guards against a faulty worker that is free again at once and so fails one job after another. */
     @Test
     void should_quarantine_a_worker_that_fails_everything() {
         // given
@@ -70,7 +70,7 @@
         // when
         for (int i = 0; i < 200; i++) {
             group.tick(100);
-            List.copyOf(group.checker.holds(bad).keySet()).forEach(a -> group.end(a, TaskOutcome.FAILED));
+            List.copyOf(group.checker.attemptsOn(bad).keySet()).forEach(a -> group.end(a, TaskOutcome.FAILED));
             succeedOldest();
         }
         // then
@@ -81,7 +81,7 @@
 
     private void succeedOldest() {
         for (String worker : group.checker.usable) {
-            List<TaskAttempt> held = List.copyOf(group.checker.holds(worker).keySet());
+            List<TaskAttempt> held = List.copyOf(group.checker.attemptsOn(worker).keySet());
             if (!held.isEmpty() && !worker.equals("w03")) {
                 group.end(held.get(0), TaskOutcome.SUCCEEDED);
                 return;
@@ -89,9 +89,9 @@
         }
     }
 
-    /** Guards against a quarantine after one bad job. */
+    /** Guards against a quarantine because of one faulty job. */
     @Test
-    void should_not_quarantine_a_worker_for_one_bad_job() {
+    void should_not_quarantine_a_worker_for_one_faulty_job() {
         // given
         group.claimAll(1, 1, cores(8));
         group.accept(ofFamily(job("bad", JobClass.BATCH, 8, cores(1)), "bad", 10));
@@ -101,7 +101,7 @@
         assertThat(group.all(WorkerQuarantined.class)).isEmpty();
     }
 
-    /** Guards against a flood of starts after the loss of a worker. */
+    /** Guards against a burst of starts after the loss of a worker. */
     @Test
     void should_place_the_tasks_of_a_lost_worker_again_at_a_limited_rate() {
         // given
@@ -128,7 +128,7 @@
         TaskAttempt old = new TaskAttempt(new io.radishspindle.model.TaskId("job", 1), GroupFake.EPOCH - 1, 4);
         // when
         group.recover(job("job", JobClass.BATCH, 3, cores(1)), Set.of(0), group.nowMs + 13_000);
-        group.checker.holds("w00").put(old, cores(1));
+        group.checker.attemptsOn("w00").put(old, cores(1));
         group.claim(Fixtures.worker("w00", "rack0", cores(8)));
         group.run(12_900, 0);
         assertThat(group.all(StartTask.class)).isEmpty();
@@ -140,7 +140,7 @@
         assertThat(group.status("job").succeeded()).isEqualTo(1);
     }
 
-    /** Guards against work that is repeated though an earlier owner's attempt succeeded. */
+    /** Guards against a second run of a task whose attempt under an earlier owner succeeded. */
     @Test
     void should_accept_a_late_success_of_an_attempt_of_an_earlier_owner() {
         // given
--- a/library/src/test/java/io/radishspindle/placement/FairShareTest.java
+++ b/library/src/test/java/io/radishspindle/placement/FairShareTest.java
@@ -20,14 +20,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Quotas, borrowing and admission. */
+/** Quotas, borrowing, admission, observed usage and overuse. */
 class FairShareTest {
     private static final PlacementPolicy QUOTA_4 =
             new PlacementPolicy(cores(4), Map.of("team-0", Resources.NONE), 50, true);
 
     private final GroupFake group = new GroupFake(QUOTA_4);
 
-    /** Guards against a team that gets everything because it asked first. */
+    /** Guards against a team that takes the whole group because it submitted first. */
     @Test
     void should_share_free_capacity_between_teams() {
         // given
@@ -41,9 +41,9 @@
         assertThat(group.live("second")).hasSize(4);
     }
 
-    /** Guards against idle capacity that a quota keeps unused, and against borrowed capacity that is not returned. */
+    /** Guards against idle capacity that a quota keeps unused, and against borrowed capacity that is not reclaimed. */
     @Test
-    void should_lend_idle_capacity_and_take_it_back() {
+    void should_lend_idle_capacity_and_reclaim_it() {
         // given
         group.claimAll(2, 1, cores(4));
         group.accept(ofTeam(job("borrower", JobClass.BATCH, 20, cores(1)), "team-a"));
@@ -57,7 +57,7 @@
         assertThat(group.live("borrower")).hasSize(5);
     }
 
-    /** Guards against a wrong or empty reason for a refusal. */
+    /** Guards against a rejection with a wrong or empty reason. */
     @ParameterizedTest
     @CsvSource({
         "BATCH, 1, 9, team-a, NEVER_FITS, 9.0 cores",
@@ -67,7 +67,7 @@
         "BATCH, 1, 0, team-a, INVALID_REQUEST, not all 0",
         "BATCH, 1, 1, team-0, QUOTA_EXCEEDED, quota 0"
     })
-    void should_refuse_with_the_true_reason(
+    void should_reject_a_job_with_the_applicable_reason(
             JobClass jobClass, int tasks, int cores, String team, ErrorCode code, String part) {
         // given
         group.claimAll(2, 1, cores(8));
@@ -97,9 +97,9 @@
                         + " its quota, so others go first");
     }
 
-    /** Guards against reserving less than declared, and against the same overuse again in later jobs of a family. */
+    /** Guards against charging less than declared, and against repeated overuse by later jobs of a family. */
     @Test
-    void should_reserve_what_a_family_was_seen_to_use() {
+    void should_charge_the_usage_observed_for_a_family() {
         // given
         group.claimAll(1, 1, cores(8));
         group.accept(Fixtures.ofFamily(job("one", JobClass.BATCH, 1, cores(1)), "family", 1));
@@ -133,7 +133,7 @@
         assertThat(group.core.totals().free().milliCores()).isZero();
     }
 
-    /** Guards against overuse of memory that ends in the death of other tasks. */
+    /** Guards against memory overuse, which would get other tasks of the worker killed. */
     @Test
     void should_stop_a_batch_task_that_uses_more_memory_than_is_left() {
         // given
--- a/library/src/test/java/io/radishspindle/placement/GroupFake.java
+++ b/library/src/test/java/io/radishspindle/placement/GroupFake.java
@@ -14,7 +14,7 @@
 import java.util.Objects;
 import java.util.Set;
 
-/** Owner and workers of one group around a core, in virtual time; every action passes the checker. Not thread-safe. */
+/** Simulates the owner and the workers of one group around a core in virtual time and checks every action. Not thread-safe. */
 final class GroupFake {
     static final long EPOCH = 7;
 
@@ -48,7 +48,7 @@
         checker.workers.put(worker.id(), worker);
         checker.usable.add(worker.id());
         List<PlacementEvent.RunningTask> running = new ArrayList<>();
-        checker.holds(worker.id()).forEach((a, r) -> running.add(new PlacementEvent.RunningTask(a, r)));
+        checker.attemptsOn(worker.id()).forEach((a, r) -> running.add(new PlacementEvent.RunningTask(a, r)));
         send(new PlacementEvent.WorkerClaimed(worker, running));
     }
 
@@ -66,7 +66,7 @@
 
     void lost(String worker) {
         checker.usable.remove(worker);
-        checker.holds(worker).clear();
+        checker.attemptsOn(worker).clear();
         send(new PlacementEvent.WorkerLost(worker));
     }
 
@@ -97,13 +97,13 @@
 
     void end(TaskAttempt attempt, TaskOutcome outcome) {
         String worker = Objects.requireNonNullElse(checker.whereRunning(attempt.task()), "nowhere");
-        checker.holds(worker).remove(attempt);
+        checker.attemptsOn(worker).remove(attempt);
         send(new PlacementEvent.TaskEnded(attempt, worker, outcome, "exit 1"));
     }
 
     void refuse(TaskAttempt attempt) {
         String worker = Objects.requireNonNullElse(checker.whereRunning(attempt.task()), "nowhere");
-        checker.holds(worker).remove(attempt);
+        checker.attemptsOn(worker).remove(attempt);
         send(new PlacementEvent.StartRefused(attempt, worker, "no room"));
     }
 
@@ -112,7 +112,7 @@
         return send(new PlacementEvent.Tick());
     }
 
-    /** Lets time pass in ticks; stopped attempts end {@code stopMs} after the first command. */
+    /** Advances time in ticks of 50 ms; attempts with a stop command end at once if {@code stopMs} is 0, otherwise never. */
     void run(long forMs, long stopMs) {
         for (long end = nowMs + forMs; nowMs < end; ) {
             List<PlacementAction> decided = tick(50);
--- a/library/src/test/java/io/radishspindle/placement/RandomEventsTest.java
+++ b/library/src/test/java/io/radishspindle/placement/RandomEventsTest.java
@@ -17,23 +17,23 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Applies random events, among them stale, repeated and unknown ones, and checks the guarantees from the actions. */
+/** Applies random events, including stale, repeated and unknown ones, and checks the invariants on all actions. */
 class RandomEventsTest {
     private static final int WORKERS = 8;
     private static final int KINDS = 16;
 
-    /** Guards against overfilled workers, second live attempts, starts without authority and broken gangs. */
+    /** Guards against overcommitted workers, second live attempts, starts without authority and partly started gangs. */
     @Property(
             tries = 150,
             seed = "20261204",
             shrinking = ShrinkingMode.BOUNDED,
             afterFailure = AfterFailureMode.PREVIOUS_SEED)
-    void should_keep_the_guarantees_under_any_sequence_of_events(
+    void should_keep_the_invariants_under_any_sequence_of_events(
             @ForAll @Size(min = 50, max = 400) List<@IntRange(min = 0, max = 1_000_000) Integer> steps) {
         // given
         GroupFake group = new GroupFake(new PlacementPolicy(new Resources(20_000, 20_000, 2), Map.of(), 100_000, true));
         group.claimAll(WORKERS, 3, new Resources(8_000, 16_000, 2));
-        // when and then: the checker looks at every action
+        // when and then: the checker examines every action
         for (int step : steps) {
             apply(group, step % KINDS, step / KINDS);
         }
@@ -78,7 +78,7 @@
     private static List<TaskAttempt> running(GroupFake group) {
         List<TaskAttempt> live = new ArrayList<>();
         for (String worker : group.checker.usable) {
-            live.addAll(group.checker.holds(worker).keySet());
+            live.addAll(group.checker.attemptsOn(worker).keySet());
         }
         return live;
     }
