--- a/library/src/test/java/io/radishspindle/pool/core/PausedOwnerTest.java
+++ b/library/src/test/java/io/radishspindle/pool/core/PausedOwnerTest.java
@@ -23,8 +23,8 @@
 
     @BeforeEach
     void answerOnce() {
-        scheduler.workerListed(WORKER, nowMs);
-        scheduler.holdAnswered("w", nowMs, IDLE, nowMs, nowMs);
+        scheduler.onWorkerRegistered(WORKER, nowMs);
+        scheduler.onHoldReply("w", nowMs, IDLE, nowMs, nowMs);
         scheduler.submit(SimJobs.job("a", 0, nowMs, SimJobs.step(1, 1_000, 0, 100)));
     }
 
@@ -37,7 +37,7 @@
     @Test
     void should_start_nothing_after_a_pause_before_a_worker_answers_anew() {
         // given
-        scheduler.distrustAnswers(nowMs);
+        scheduler.invalidateEarlierAnswers(nowMs);
 
         // then
         assertThat(scheduler.hasQuorum(nowMs)).isFalse();
@@ -49,10 +49,10 @@
         // given
         long sentAtMs = nowMs;
         nowMs += 5_000;
-        scheduler.distrustAnswers(nowMs);
+        scheduler.invalidateEarlierAnswers(nowMs);
 
         // when
-        scheduler.holdAnswered("w", sentAtMs, IDLE, nowMs, nowMs);
+        scheduler.onHoldReply("w", sentAtMs, IDLE, nowMs, nowMs);
 
         // then
         assertThat(starts()).isZero();
@@ -61,10 +61,10 @@
     @Test
     void should_go_on_with_an_answer_to_a_later_hold() {
         // given
-        scheduler.distrustAnswers(nowMs);
+        scheduler.invalidateEarlierAnswers(nowMs);
 
         // when
-        scheduler.holdAnswered("w", nowMs, IDLE, nowMs + 5, nowMs + 5);
+        scheduler.onHoldReply("w", nowMs, IDLE, nowMs + 5, nowMs + 5);
         nowMs += 5;
 
         // then
