--- a/library/src/main/java/io/radishspindle/placement/internal/Ledger.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Ledger.java
@@ -39,7 +39,8 @@
 
     Attempt start(JobState job, int index, WorkerState worker) {
         if (!worker.isUsable() || !context.mayStart) {
-            throw new IllegalStateException("start on worker " + worker.id + " without authority or on an unusable worker");
+            throw new IllegalStateException(
+                    "start on worker " + worker.id + " without authority or on an unusable worker");
         }
         int number = job.nextAttemptNumber(index, context.epoch);
         TaskAttempt id = new TaskAttempt(job.task(index), context.epoch, number);
--- a/library/src/main/java/io/radishspindle/placement/internal/Preemptor.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Preemptor.java
@@ -78,7 +78,8 @@
         double largest = -Double.MAX_VALUE;
         for (WorkerState worker : workers.all()) {
             if (worker.isUsable() && demand.fitsIn(worker.info.capacity())) {
-                double ratio = ResourceRatios.fitRatio(demand, worker.freeForOthers().plus(worker.stopping));
+                double ratio =
+                        ResourceRatios.fitRatio(demand, worker.freeForOthers().plus(worker.stopping));
                 if (ratio > largest) {
                     best = worker;
                     largest = ratio;
--- a/library/src/main/java/io/radishspindle/placement/internal/Quarantine.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Quarantine.java
@@ -49,7 +49,9 @@
 
     private static boolean isFaulty(WorkerState worker) {
         Set<String> families = new HashSet<>();
-        worker.consecutiveFailures.values().forEach(f -> families.add(f.job().spec.family()));
+        worker.consecutiveFailures
+                .values()
+                .forEach(f -> families.add(f.job().spec.family()));
         return worker.consecutiveFailures.size() >= MIN_JOBS && families.size() >= MIN_FAMILIES;
     }
 
--- a/library/src/main/java/io/radishspindle/placement/internal/Reservations.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Reservations.java
@@ -120,14 +120,16 @@
         return new Reservation(job, shadowAtMs, first, context.nowMs, slack(futureFree, job.demand, count));
     }
 
-    private static int releaseAtEnd(Map<WorkerState, Resources> futureFree, Attempt attempt, Resources demand, int count) {
+    private static int releaseAtEnd(
+            Map<WorkerState, Resources> futureFree, Attempt attempt, Resources demand, int count) {
         Resources before = futureFree.getOrDefault(attempt.worker, Resources.NONE);
         Resources after = before.plus(attempt.charged);
         futureFree.put(attempt.worker, after);
         return WorkerTable.fitCount(demand, after, count) - WorkerTable.fitCount(demand, before, count);
     }
 
-    private static Map<WorkerState, Resources> slack(Map<WorkerState, Resources> futureFree, Resources demand, int count) {
+    private static Map<WorkerState, Resources> slack(
+            Map<WorkerState, Resources> futureFree, Resources demand, int count) {
         List<WorkerState> order = new ArrayList<>(futureFree.keySet());
         Comparator<WorkerState> byFit = Comparator.comparingInt(
                 w -> -WorkerTable.fitCount(demand, futureFree.getOrDefault(w, Resources.NONE), count));
--- a/library/src/main/java/io/radishspindle/placement/internal/TaskEventHandler.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/TaskEventHandler.java
@@ -137,7 +137,10 @@
         JobState job = attempt.job;
         if (job != null) {
             lifecycle.requeue(
-                    job, event.attempt().task().index(), "start refused: " + event.reason(), failures.retryRefusedAtMs());
+                    job,
+                    event.attempt().task().index(),
+                    "start refused: " + event.reason(),
+                    failures.retryRefusedAtMs());
         }
     }
 
--- a/library/src/test/java/io/radishspindle/placement/FailuresTest.java
+++ b/library/src/test/java/io/radishspindle/placement/FailuresTest.java
@@ -81,7 +81,8 @@
 
     private void succeedOldest() {
         for (String worker : group.checker.usable) {
-            List<TaskAttempt> held = List.copyOf(group.checker.attemptsOn(worker).keySet());
+            List<TaskAttempt> held =
+                    List.copyOf(group.checker.attemptsOn(worker).keySet());
             if (!held.isEmpty() && !worker.equals("w03")) {
                 group.end(held.get(0), TaskOutcome.SUCCEEDED);
                 return;
