--- a/library/src/main/java/io/radishspindle/placement/FairSharePlacement.java
+++ b/library/src/main/java/io/radishspindle/placement/FairSharePlacement.java
@@ -9,7 +9,8 @@
 import java.util.Optional;
 
 /**
- * Placement policy used in production: job classes, fair share with quotas, gangs with reservations, best-fit packing and quarantine of faulty workers. Not thread-safe; one instance belongs to the event loop of one group's owner.
+ * Placement policy used in production: job classes, fair share with quotas, gangs with reservations, best-fit packing
+ * and quarantine of faulty workers. Not thread-safe; one instance belongs to the event loop of one group's owner.
  *
  * <p>The same events at the same times give the same actions. Unknown, stale and repeated events change nothing.
  */
@@ -19,7 +20,8 @@
     /**
      * Creates a core that knows no workers or jobs and has no authority to start tasks.
      *
-     * @param seed accepted because all decision cores take a seed; this policy breaks ties by id and draws no random numbers
+     * @param seed accepted because all decision cores take a seed; this policy breaks ties by id and draws no random
+     *     numbers
      * @param policy the settings until the first {@link PlacementEvent.PolicyChanged}
      */
     public FairSharePlacement(long seed, PlacementPolicy policy) {
--- a/library/src/main/java/io/radishspindle/placement/GroupPlacement.java
+++ b/library/src/main/java/io/radishspindle/placement/GroupPlacement.java
@@ -9,8 +9,8 @@
 import java.util.Optional;
 
 /**
- * Decides which tasks of one group of workers run where. Implementations are deterministic, do no I/O and read no clock; they are
- * not thread-safe and belong to the event loop of the group's owner.
+ * Decides which tasks of one group of workers run where. Implementations are deterministic, do no I/O and read no
+ * clock; they are not thread-safe and belong to the event loop of the group's owner.
  *
  * <p>Invariants: the resources charged to a worker never exceed its capacity; a task has at most one attempt that is
  * started, running or open.
@@ -19,7 +19,10 @@
     /** Handles an event at {@code nowMs} of the monotonic clock; time never decreases between calls. */
     List<PlacementAction> handle(long nowMs, PlacementEvent event);
 
-    /** Checks before acceptance whether the group can ever run a job and whether the queue has capacity for it. Changes nothing. */
+    /**
+     * Checks before acceptance whether the group can ever run a job and whether the queue has capacity for it. Changes
+     * nothing.
+     */
     Either<Failure, JobSpec> check(JobSpec job);
 
     Optional<JobStatus> status(long nowMs, String jobId);
--- a/library/src/main/java/io/radishspindle/placement/PlacementEvent.java
+++ b/library/src/main/java/io/radishspindle/placement/PlacementEvent.java
@@ -8,7 +8,9 @@
 import java.util.List;
 import java.util.Set;
 
-/** Input of the placement core: a change of a group's workers, jobs or settings. Events are immutable and thread-safe. */
+/**
+ * Input of the placement core: a change of a group's workers, jobs or settings. Events are immutable and thread-safe.
+ */
 public sealed interface PlacementEvent {
     /** A job was accepted durably. */
     record JobAccepted(JobSpec job) implements PlacementEvent {}
@@ -27,7 +29,9 @@
     /** A job was cancelled durably. */
     record JobCancelled(String jobId) implements PlacementEvent {}
 
-    /** A worker answered a claim; {@code running} is everything that runs on it. Replaces the known state of the worker. */
+    /**
+     * A worker answered a claim; {@code running} is everything that runs on it. Replaces the known state of the worker.
+     */
     record WorkerClaimed(WorkerInfo worker, List<RunningTask> running) implements PlacementEvent {}
 
     /** An attempt that a worker reported as running. */
@@ -46,7 +50,7 @@
     record TaskEnded(TaskAttempt attempt, String workerId, TaskOutcome outcome, String detail)
             implements PlacementEvent {}
 
-    /** A worker refused a start; the attempt has certainly not run. */
+    /** A start was certainly not carried out, for example because the worker refused it. */
     record StartRefused(TaskAttempt attempt, String workerId, String reason) implements PlacementEvent {}
 
     /** Measured usage of an attempt; reports arrive with a delay. */
--- a/library/src/main/java/io/radishspindle/placement/internal/Attempt.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Attempt.java
@@ -5,7 +5,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A live attempt and what is charged for it. An attempt without a job is one that a worker reported and that belongs to no known task. Not thread-safe.
+ * A live attempt and what is charged for it. An attempt without a job is one that a worker reported and that belongs to
+ * no known task. Not thread-safe.
  */
 final class Attempt {
     final TaskAttempt id;
--- a/library/src/main/java/io/radishspindle/placement/internal/Context.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Context.java
@@ -5,7 +5,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** State that all components of the core share: time, policy, authority and the actions not yet returned. Not thread-safe. */
+/**
+ * State that all components of the core share: time, policy, authority and the actions not yet returned. Not
+ * thread-safe.
+ */
 final class Context {
     long nowMs;
     PlacementPolicy policy;
--- a/library/src/main/java/io/radishspindle/placement/internal/Explainer.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Explainer.java
@@ -138,7 +138,7 @@
                     + describeBorrowing(job);
         }
         return needs + "; there is capacity for " + fitting + " on " + usable
-                + " usable workers, but it is kept for urgent tasks or reservations, or not yet decided on"
+                + " usable workers, but it is kept for urgent tasks or reservations, or not yet assigned"
                 + describeBorrowing(job);
     }
 
@@ -151,7 +151,7 @@
                 Locale.ROOT, "; team %s uses %.1f times its quota, so others go first", job.spec.team(), share);
     }
 
-    /** Of two free amounts the one that holds the larger part of the demand. */
+    /** Returns the one of two free amounts that covers the larger fraction of the demand. */
     private static Resources closerFit(Resources demand, Resources a, Resources b) {
         return ResourceRatios.fitRatio(demand, b) > ResourceRatios.fitRatio(demand, a) ? b : a;
     }
--- a/library/src/main/java/io/radishspindle/placement/internal/FailurePolicy.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/FailurePolicy.java
@@ -4,7 +4,10 @@
 import io.radishspindle.model.JobStatus;
 import java.util.ArrayList;
 
-/** Decides what follows a failed attempt: retry after a back-off, failure of the task, or failure of the job. Not thread-safe. */
+/**
+ * Decides what follows a failed attempt: retry after a back-off, failure of the task, or failure of the job. Not
+ * thread-safe.
+ */
 final class FailurePolicy {
     private static final long FIRST_BACK_OFF_MS = 1_000;
     private static final long FIRST_URGENT_BACK_OFF_MS = 100;
--- a/library/src/main/java/io/radishspindle/placement/internal/FairPass.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/FairPass.java
@@ -7,10 +7,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Starts waiting tasks of one class, always for the team that uses the smallest fraction of its quota, less a credit for
- * its waiting time. Within a team the oldest job goes first. Not thread-safe.
+ * Starts waiting tasks of one class, always for the team that uses the smallest fraction of its quota, less a credit
+ * for its waiting time. Within a team the oldest job goes first. Not thread-safe.
  *
- * <p>Free resources only shrink during a pass, so a bucket that finds no worker is not tried again in it, and one pass examines each bucket once in addition to the tasks it starts.
+ * <p>Free resources only shrink during a pass, so a bucket that finds no worker is not tried again in it, and one pass
+ * examines each bucket once in addition to the tasks it starts.
  */
 final class FairPass {
     /** Chooses a worker for the next task of a job; null if there is none at present. */
@@ -20,8 +21,8 @@
     }
 
     /**
-     * Waiting time that offsets a usage of one full quota. Without ageing a team with a burst waits until all others are
-     * idle, and the longest waits exceed those of first-come first-served.
+     * Waiting time that offsets a usage of one full quota. Without ageing a team with a burst waits until all others
+     * are idle, and the longest waits exceed those of first-come first-served.
      */
     private static final double AGING_MS = 30_000;
     /** Bounds the search for a job that the reservations allow. */
@@ -87,7 +88,7 @@
         return candidate;
     }
 
-    /** The share of the team, lowered by the time that its oldest job has waited. */
+    /** Returns the share of the team, lowered by the time that its oldest job has waited; the lowest goes first. */
     private double priority(Candidate candidate) {
         double share = candidate.team.share(context.policy);
         if (candidate.cursor >= candidate.buckets.size()) {
@@ -108,7 +109,7 @@
         return false;
     }
 
-    /** Jobs of a bucket differ in run time, so a reservation may stop the oldest and let a later one pass. */
+    /** Jobs of a bucket differ in run time, so a reservation may exclude the oldest and allow a later one. */
     private boolean startFrom(Bucket bucket, Chooser chooser) {
         int tried = 0;
         for (JobState job : bucket.jobs.values()) {
--- a/library/src/main/java/io/radishspindle/placement/internal/Family.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Family.java
@@ -14,7 +14,9 @@
     private static final int SAMPLES = 16;
 
     private static final int MIN_RUN_SAMPLES = 3;
-    /** A family is failing consistently if this many attempts in a row failed, in several jobs and on several workers. */
+    /**
+     * A family is failing consistently if this many attempts in a row failed, in several jobs and on several workers.
+     */
     static final int SET_ASIDE_ATTEMPTS = 8;
 
     private static final int SET_ASIDE_JOBS = 2;
--- a/library/src/main/java/io/radishspindle/placement/internal/Ledger.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Ledger.java
@@ -46,7 +46,7 @@
         TaskAttempt id = new TaskAttempt(job.task(index), context.epoch, number);
         Attempt attempt = new Attempt(id, job, worker, job.demand, context.nowMs);
         charge(attempt);
-        worker.checkNotOverfilled(id);
+        worker.checkNotOvercommitted(id);
         job.noteStart(index, context.nowMs);
         context.emit(new PlacementAction.StartTask(id, worker.id, job.demand));
         return attempt;
@@ -87,7 +87,7 @@
         WorkerState worker = attempt.worker;
         Resources added = to.minus(attempt.charged);
         worker.free = worker.free.minus(added);
-        worker.checkNotOverfilled(attempt.id);
+        worker.checkNotOvercommitted(attempt.id);
         if (attempt.isStopping()) {
             worker.stopping = worker.stopping.plus(added);
         }
--- a/library/src/main/java/io/radishspindle/placement/internal/OveruseHandler.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/OveruseHandler.java
@@ -6,7 +6,8 @@
 import io.radishspindle.platform.WorkerClient.Command;
 
 /**
- * Reacts to attempts that use more than is charged for them: the charge is raised while the worker has free capacity; otherwise batch tasks are throttled (processors) or stopped (memory). Not thread-safe.
+ * Reacts to attempts that use more than is charged for them: the charge is raised while the worker has free capacity;
+ * otherwise batch tasks are throttled (processors) or stopped (memory). Not thread-safe.
  */
 final class OveruseHandler {
     private final Context context;
--- a/library/src/main/java/io/radishspindle/placement/internal/PlacementEngine.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/PlacementEngine.java
@@ -36,7 +36,7 @@
     @Override
     public List<PlacementAction> handle(long nowMs, PlacementEvent event) {
         if (nowMs < context.nowMs) {
-            throw new IllegalStateException("time went back from " + context.nowMs + " to " + nowMs);
+            throw new IllegalStateException("time decreased from " + context.nowMs + " to " + nowMs);
         }
         context.nowMs = nowMs;
         dispatch(event);
--- a/library/src/main/java/io/radishspindle/placement/internal/Preemptor.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Preemptor.java
@@ -142,7 +142,10 @@
         return needed;
     }
 
-    /** Milli-core milliseconds of work that are lost if the attempt is stopped, plus one so that fewer victims are preferred. */
+    /**
+     * Milli-core milliseconds of work that are lost if the attempt is stopped, plus one so that fewer victims are
+     * preferred.
+     */
     private double lostWork(Attempt attempt) {
         return (double) attempt.charged.milliCores() * (context.nowMs - attempt.startedAtMs) + 1;
     }
--- a/library/src/main/java/io/radishspindle/placement/internal/Sizing.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Sizing.java
@@ -11,8 +11,9 @@
     }
 
     /**
-     * The declared size, raised to the usage observed for the family. If the raised size, or a gang of it, would fit on
-     * no set of workers, the declared size is kept, because a job that was accepted must be able to start.
+     * The declared size, raised to the usage observed for the family. If a task, or a whole gang, of the raised size
+     * would not fit on the empty workers, the declared size is kept, because a job that was accepted must be able to
+     * start.
      */
     Resources demandOf(JobState job) {
         Resources declared = job.spec.perTask();
@@ -24,7 +25,7 @@
         return capacityFor(observed, taskCount) >= taskCount ? observed : declared;
     }
 
-    /** How many tasks of a size the empty workers hold together, counted up to {@code atMost}. */
+    /** Returns how many tasks with this demand fit on all workers when empty, counted up to {@code atMost}. */
     int capacityFor(Resources demand, int atMost) {
         int count = 0;
         for (WorkerState worker : workers.all()) {
--- a/library/src/main/java/io/radishspindle/placement/internal/Team.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Team.java
@@ -12,7 +12,10 @@
         this.name = name;
     }
 
-    /** Returns the dominant share: the largest fraction of its quota that the team uses of any resource. Above 1 it borrows. */
+    /**
+     * Returns the dominant share: the largest fraction of its quota that the team uses of any resource. Above 1 it
+     * borrows.
+     */
     double share(PlacementPolicy policy) {
         Resources quota = policy.quotaOf(name);
         double cores = fraction(used.milliCores(), quota.milliCores());
--- a/library/src/main/java/io/radishspindle/placement/internal/WorkerState.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/WorkerState.java
@@ -79,9 +79,9 @@
         }
     }
 
-    void checkNotOverfilled(@Nullable Object cause) {
+    void checkNotOvercommitted(@Nullable Object cause) {
         if (free.milliCores() < 0 || free.memoryMib() < 0 || free.accelerators() < 0) {
-            throw new IllegalStateException("worker " + id + " is overfilled by " + cause + ": free " + free);
+            throw new IllegalStateException("worker " + id + " is overcommitted by " + cause + ": free " + free);
         }
     }
 }
--- a/library/src/main/java/io/radishspindle/placement/internal/WorkerTable.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/WorkerTable.java
@@ -152,8 +152,8 @@
         return cores + memory + accelerators + Math.abs(cores - memory) + failurePenalty;
     }
 
-    private static double fraction(long amount, long of) {
-        return of <= 0 ? 0 : (double) amount / of;
+    private static double fraction(long amount, long total) {
+        return total <= 0 ? 0 : (double) amount / total;
     }
 
     /** How many tasks fit into an amount of resources. */
--- a/library/src/test/java/io/radishspindle/placement/GroupFake.java
+++ b/library/src/test/java/io/radishspindle/placement/GroupFake.java
@@ -14,7 +14,10 @@
 import java.util.Objects;
 import java.util.Set;
 
-/** Simulates the owner and the workers of one group around a core in virtual time and checks every action. Not thread-safe. */
+/**
+ * Simulates the owner and the workers of one group around a core in virtual time and checks every action. Not
+ * thread-safe.
+ */
 final class GroupFake {
     static final long EPOCH = 7;
 
@@ -112,7 +115,10 @@
         return send(new PlacementEvent.Tick());
     }
 
-    /** Advances time in ticks of 50 ms; attempts with a stop command end at once if {@code stopMs} is 0, otherwise never. */
+    /**
+     * Advances time in ticks of 50 ms; attempts with a stop command end at once if {@code stopMs} is 0, otherwise
+     * never.
+     */
     void run(long forMs, long stopMs) {
         for (long end = nowMs + forMs; nowMs < end; ) {
             List<PlacementAction> decided = tick(50);
--- a/library/src/test/java/io/radishspindle/placement/RandomEventsTest.java
+++ b/library/src/test/java/io/radishspindle/placement/RandomEventsTest.java
@@ -22,7 +22,9 @@
     private static final int WORKERS = 8;
     private static final int KINDS = 16;
 
-    /** Guards against overcommitted workers, second live attempts, starts without authority and partly started gangs. */
+    /**
+     * Guards against overcommitted workers, second live attempts, starts without authority and partly started gangs.
+     */
     @Property(
             tries = 150,
             seed = "20261204",
