--- a/library/src/main/java/io/radishspindle/placement/internal/FailurePolicy.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/FailurePolicy.java
@@ -4,35 +4,38 @@
 import io.radishspindle.model.JobStatus;
 import java.util.ArrayList;
 
-/** Decides what follows a failed attempt: back-off, end of the task, end of the job. Not thread-safe. */
+/**
+ * Decides what follows a failed attempt: retry after a back-off, failure of the task, or failure of the job. Not
+ * thread-safe.
+ */
 final class FailurePolicy {
     private static final long FIRST_BACK_OFF_MS = 1_000;
     private static final long FIRST_URGENT_BACK_OFF_MS = 100;
     private static final long MAX_BACK_OFF_MS = 300_000;
     /** A replica that ran this long is considered healthy again. */
     private static final long STABLE_MS = 60_000;
-    /** A refused start means that the worker's view differs; it is asked again only after its next report. */
+    /** A worker refuses a start when its state differs from the core's; the retry waits for its next report. */
     private static final long REFUSED_BACK_OFF_MS = 1_000;
-    /** Tasks of a job up to which each task may use all its attempts. */
+    /** In jobs of at most this many tasks each task may use all its attempts. */
     private static final int FULL_BUDGET_TASKS = 4;
 
     private final Context context;
     private final Queues queues;
     private final Lifecycle lifecycle;
 
-    FailurePolicy(Parts parts) {
-        this.context = parts.context;
-        this.queues = parts.queues;
-        this.lifecycle = parts.lifecycle;
+    FailurePolicy(Components components) {
+        this.context = components.context;
+        this.queues = components.queues;
+        this.lifecycle = components.lifecycle;
     }
 
-    /** Handles a failed attempt whose charge is released. Returns whether the task ended for good. */
-    boolean failed(JobState job, int index, Attempt attempt, String detail) {
-        String what = "attempt " + attempt.id + " failed on worker " + attempt.worker.id + ": " + detail;
-        job.lastProblem = what;
+    /** Handles a failed attempt whose charge is released. Returns whether the task is not retried. */
+    boolean onFailure(JobState job, int index, Attempt attempt, String detail) {
+        String problem = "attempt " + attempt.id + " failed on worker " + attempt.worker.id + ": " + detail;
+        job.lastProblem = problem;
         job.failedOnWorker = attempt.worker.id;
         if (job.spec.jobClass() == JobClass.SERVICE) {
-            restart(job, index, attempt, what);
+            restart(job, index, attempt, problem);
             return false;
         }
         Family family = job.family;
@@ -41,28 +44,28 @@
         job.totalFailures++;
         boolean exhausted = isExhausted(job, index);
         if (exhausted) {
-            fail(job, index, what);
+            fail(job, index, problem);
         } else {
             job.retriesUsed++;
-            lifecycle.requeue(job, index, what, context.nowMs + backOffMs(job, job.failures[index]));
+            lifecycle.requeue(job, index, problem, context.nowMs + backOffMs(job, job.failures[index]));
         }
-        if (family.failsAlways()) {
-            setAside(family);
+        if (family.isFailingConsistently()) {
+            setAsideFailingJobs(family);
         }
         return exhausted;
     }
 
-    private void fail(JobState job, int index, String what) {
+    private void fail(JobState job, int index, String problem) {
         if (job.isGang()) {
             queues.move(job, index, TaskPhase.FAILED);
-            lifecycle.abandon(job, JobStatus.Phase.FAILED, what);
+            lifecycle.abandon(job, JobStatus.Phase.FAILED, problem);
         } else {
             lifecycle.finishTask(job, index, TaskPhase.FAILED);
         }
     }
 
     /**
-     * Whether a failed task is not tried again: it has used its attempts, or its job has used its retry budget. Each
+     * Whether a failed task is not retried: it has used its attempts, or its job has used its retry budget. Each
      * task of a small job may use all its attempts; a large job may retry as often as a quarter of its tasks could,
      * so that a faulty job of many tasks costs little more than one attempt per task.
      */
@@ -76,7 +79,7 @@
         return job.failures[index] >= maxAttempts || job.retriesUsed >= (maxAttempts - 1) * share;
     }
 
-    private void setAside(Family family) {
+    private void setAsideFailingJobs(Family family) {
         for (JobState job : new ArrayList<>(family.jobs)) {
             boolean service = job.spec.jobClass() == JobClass.SERVICE;
             if (!service && job.totalFailures > 0 && job.count(TaskPhase.SUCCEEDED) == 0) {
@@ -85,15 +88,15 @@
         }
     }
 
-    void serviceExited(JobState job, int index, Attempt attempt) {
+    void onServiceExit(JobState job, int index, Attempt attempt) {
         restart(job, index, attempt, "replica " + index + " exited on worker " + attempt.worker.id);
     }
 
-    private void restart(JobState job, int index, Attempt attempt, String what) {
+    private void restart(JobState job, int index, Attempt attempt, String problem) {
         boolean stable = context.nowMs - attempt.startedAtMs >= STABLE_MS;
         job.failures[index] = stable ? 1 : job.failures[index] + 1;
-        job.lastProblem = what;
-        lifecycle.requeue(job, index, what, context.nowMs + backOffMs(job, job.failures[index]));
+        job.lastProblem = problem;
+        lifecycle.requeue(job, index, problem, context.nowMs + backOffMs(job, job.failures[index]));
     }
 
     private static long backOffMs(JobState job, int failures) {
@@ -101,7 +104,7 @@
         return Math.min(MAX_BACK_OFF_MS, first << Math.min(failures - 1, 20));
     }
 
-    long refusedUntil() {
+    long retryRefusedAtMs() {
         return context.nowMs + REFUSED_BACK_OFF_MS;
     }
 }
--- a/library/src/main/java/io/radishspindle/placement/internal/FairPass.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/FairPass.java
@@ -7,12 +7,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Starts waiting tasks of one class, always for the team that uses the smallest part of its quota; waiting counts in
- * favour of a team. Within a team the
- * oldest job goes first. Not thread-safe.
+ * Starts waiting tasks of one class, always for the team that uses the smallest fraction of its quota, less a credit
+ * for its waiting time. Within a team the oldest job goes first. Not thread-safe.
  *
- * <p>Free resources only shrink during a pass, so a bucket that finds no worker is not tried again in it, and one
- * pass looks at each bucket once beside the tasks it starts.
+ * <p>Free resources only shrink during a pass, so a bucket that finds no worker is not tried again in it, and one pass
+ * examines each bucket once in addition to the tasks it starts.
  */
 final class FairPass {
     /** Chooses a worker for the next task of a job; null if there is none at present. */
@@ -22,12 +21,12 @@
     }
 
     /**
-     * Waiting this long outweighs one quota. Without ageing a team with a burst waits until all others are idle, and
-     * the longest waits exceed those of first-come first-served.
+     * Waiting time that offsets a usage of one full quota. Without ageing a team with a burst waits until all others
+     * are idle, and the longest waits exceed those of first-come first-served.
      */
     private static final double AGING_MS = 30_000;
-    /** Bounds the search for a job that may run beside the reservations. */
-    private static final int MAX_TRIED_PER_BUCKET = 8;
+    /** Bounds the search for a job that the reservations allow. */
+    private static final int MAX_JOBS_PER_BUCKET = 8;
 
     /** A team with its buckets that may still find a worker. */
     private static final class Candidate {
@@ -50,9 +49,9 @@
     private final Reservations reservations;
     private long pass;
 
-    FairPass(Parts parts, Reservations reservations) {
-        this.context = parts.context;
-        this.ledger = parts.ledger;
+    FairPass(Components components, Reservations reservations) {
+        this.context = components.context;
+        this.ledger = components.ledger;
         this.reservations = reservations;
     }
 
@@ -89,7 +88,7 @@
         return candidate;
     }
 
-    /** The share of the team, lowered by the time that its oldest job has waited. */
+    /** Returns the share of the team, lowered by the time that its oldest job has waited; the lowest goes first. */
     private double priority(Candidate candidate) {
         double share = candidate.team.share(context.policy);
         if (candidate.cursor >= candidate.buckets.size()) {
@@ -110,14 +109,14 @@
         return false;
     }
 
-    /** Jobs of a bucket differ in run time, so a reservation may stop the oldest and let a later one pass. */
+    /** Jobs of a bucket differ in run time, so a reservation may exclude the oldest and allow a later one. */
     private boolean startFrom(Bucket bucket, Chooser chooser) {
         int tried = 0;
         for (JobState job : bucket.jobs.values()) {
-            if (bucket.shape.blocked || tried++ == MAX_TRIED_PER_BUCKET) {
+            if (bucket.shape.blocked || tried++ == MAX_JOBS_PER_BUCKET) {
                 return false;
             }
-            if (isHopeless(job, bucket.shape)) {
+            if (isKnownNotToFit(job, bucket.shape)) {
                 continue;
             }
             WorkerState worker = chooser.choose(job);
@@ -130,8 +129,8 @@
         return false;
     }
 
-    /** Whether a job that runs no longer found no worker before; one with a reservation of its own still may. */
-    private boolean isHopeless(JobState job, Shape shape) {
+    /** Whether a job that runs no longer found no worker in this pass. A job with a reservation may still find one. */
+    private boolean isKnownNotToFit(JobState job, Shape shape) {
         return shape.hasFailed(pass, job.expectedRunMs()) && reservations.of(job) == null;
     }
 }
--- a/library/src/main/java/io/radishspindle/placement/internal/Family.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Family.java
@@ -8,29 +8,31 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** What is known of a family of jobs: usage, run times, failures. Not thread-safe. */
+/** Observations about a family of jobs: usage, run times, failures. Not thread-safe. */
 final class Family {
-    /** Samples kept of usage and of run times; enough to see a high value, few enough to follow a change. */
+    /** Samples kept of usage and of run times; enough to include a peak, few enough to follow a change. */
     private static final int SAMPLES = 16;
 
     private static final int MIN_RUN_SAMPLES = 3;
-    /** A family fails always if this many attempts in a row failed, in several jobs and on several workers. */
+    /**
+     * A family is failing consistently if this many attempts in a row failed, in several jobs and on several workers.
+     */
     static final int SET_ASIDE_ATTEMPTS = 8;
 
     private static final int SET_ASIDE_JOBS = 2;
     private static final int SET_ASIDE_WORKERS = 2;
 
     final String name;
-    /** Jobs of the family that are not over. */
+    /** Unfinished jobs of the family. */
     final Set<JobState> jobs = new LinkedHashSet<>();
 
     private final Deque<Resources> peaks = new ArrayDeque<>();
     private final Deque<Long> runTimes = new ArrayDeque<>();
     private final Set<String> failedJobs = new LinkedHashSet<>();
     private final Set<String> failedWorkers = new LinkedHashSet<>();
-    private Resources learned = Resources.NONE;
-    private long learnedRunMs = -1;
-    private int failedInRow;
+    private Resources observedPeak = Resources.NONE;
+    private long estimatedRunMs = -1;
+    private int consecutiveFailures;
 
     Family(String name) {
         this.name = name;
@@ -41,7 +43,7 @@
         if (peaks.size() > SAMPLES) {
             peaks.removeFirst();
         }
-        learned = peaks.stream().reduce(Resources.NONE, Family::max);
+        observedPeak = peaks.stream().reduce(Resources.NONE, Family::max);
     }
 
     static Resources max(Resources a, Resources b) {
@@ -51,9 +53,9 @@
                 Math.max(a.accelerators(), b.accelerators()));
     }
 
-    /** The declared size, raised to the highest usage seen lately. Never less than declared. */
-    Resources reservation(Resources declared) {
-        return max(declared, new Resources(learned.milliCores(), learned.memoryMib(), 0));
+    /** The declared size, raised to the highest usage among the last samples. Never less than declared. */
+    Resources demandFor(Resources declared) {
+        return max(declared, new Resources(observedPeak.milliCores(), observedPeak.memoryMib(), 0));
     }
 
     void noteSuccess(long ranMs) {
@@ -62,19 +64,19 @@
             runTimes.removeFirst();
         }
         long[] sorted = runTimes.stream().mapToLong(Long::longValue).sorted().toArray();
-        learnedRunMs = sorted.length < MIN_RUN_SAMPLES ? -1 : sorted[sorted.length * 3 / 4];
-        failedInRow = 0;
+        estimatedRunMs = sorted.length < MIN_RUN_SAMPLES ? -1 : sorted[sorted.length * 3 / 4];
+        consecutiveFailures = 0;
         failedJobs.clear();
         failedWorkers.clear();
     }
 
-    /** Expected run time: the upper quartile of the last ones, or the declared one while little is known. */
+    /** Expected run time: the upper quartile of the last samples, or the declared run time while there are too few. */
     long expectedRunMs(JobSpec spec) {
-        return learnedRunMs >= 0 ? learnedRunMs : Math.max(1, spec.expectedRunMs());
+        return estimatedRunMs >= 0 ? estimatedRunMs : Math.max(1, spec.expectedRunMs());
     }
 
     void noteFailure(String jobId, String workerId) {
-        failedInRow++;
+        consecutiveFailures++;
         if (failedJobs.size() < SAMPLES) {
             failedJobs.add(jobId);
         }
@@ -83,25 +85,25 @@
         }
     }
 
-    /** Takes back failures that were the fault of a worker. */
-    void forgiveFailures(int count, String workerId) {
-        failedInRow = Math.max(0, failedInRow - count);
+    /** Discounts failures that a worker caused. */
+    void discountFailures(int count, String workerId) {
+        consecutiveFailures = Math.max(0, consecutiveFailures - count);
         failedWorkers.remove(workerId);
     }
 
     /** Whether the family has failed on another worker since its last success. */
-    boolean failsElsewhere(String workerId) {
+    boolean hasFailedElsewhere(String workerId) {
         return failedWorkers.size() > (failedWorkers.contains(workerId) ? 1 : 0);
     }
 
-    boolean failsAlways() {
-        return failedInRow >= SET_ASIDE_ATTEMPTS
+    boolean isFailingConsistently() {
+        return consecutiveFailures >= SET_ASIDE_ATTEMPTS
                 && failedJobs.size() >= SET_ASIDE_JOBS
                 && failedWorkers.size() >= SET_ASIDE_WORKERS;
     }
 
     String failureSummary() {
-        return "the last " + failedInRow + " attempts of family " + name + " failed, in " + failedJobs.size()
+        return "the last " + consecutiveFailures + " attempts of family " + name + " failed, in " + failedJobs.size()
                 + " jobs on " + failedWorkers.size() + " workers " + Arrays.toString(failedWorkers.toArray());
     }
 }
--- a/library/src/main/java/io/radishspindle/placement/internal/Ledger.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Ledger.java
@@ -32,20 +32,21 @@
         return running;
     }
 
-    /** Grows when a worker gains free resources. */
+    /** Returns a number that increases whenever a worker gains free resources. */
     long freedVersion() {
         return freedVersion;
     }
 
     Attempt start(JobState job, int index, WorkerState worker) {
         if (!worker.isUsable() || !context.mayStart) {
-            throw new IllegalStateException("start on worker " + worker.id + " without the right to");
+            throw new IllegalStateException(
+                    "start on worker " + worker.id + " without authority or on an unusable worker");
         }
         int number = job.nextAttemptNumber(index, context.epoch);
         TaskAttempt id = new TaskAttempt(job.task(index), context.epoch, number);
         Attempt attempt = new Attempt(id, job, worker, job.demand, context.nowMs);
         charge(attempt);
-        worker.checkNotOverfilled(id);
+        worker.checkNotOvercommitted(id);
         job.noteStart(index, context.nowMs);
         context.emit(new PlacementAction.StartTask(id, worker.id, job.demand));
         return attempt;
@@ -59,9 +60,9 @@
             orphans.put(attempt.id.task(), attempt);
             return;
         }
-        boolean waited = Queues.isWaiting(job.phase(attempt.id.task().index()));
+        boolean wasWaiting = Queues.isWaiting(job.phase(attempt.id.task().index()));
         job.addLive(attempt);
-        queues.afterMove(job, waited, false);
+        queues.onPhaseChange(job, wasWaiting, false);
         queues.charge(job, attempt.charged);
         running++;
     }
@@ -70,7 +71,7 @@
     void release(Attempt attempt) {
         attempt.worker.release(attempt);
         workers.reindex(attempt.worker);
-        freed(attempt.worker);
+        noteFreed(attempt.worker);
         JobState job = attempt.job;
         if (job == null) {
             orphans.remove(attempt.id.task(), attempt);
@@ -81,24 +82,24 @@
         running--;
     }
 
-    /** Raises the charge of a running attempt; the caller has checked that the worker has room. */
+    /** Raises the charge of a running attempt; the caller has checked that the worker has enough free resources. */
     void raise(Attempt attempt, Resources to) {
         WorkerState worker = attempt.worker;
-        Resources more = to.minus(attempt.charged);
-        worker.free = worker.free.minus(more);
-        worker.checkNotOverfilled(attempt.id);
+        Resources added = to.minus(attempt.charged);
+        worker.free = worker.free.minus(added);
+        worker.checkNotOvercommitted(attempt.id);
         if (attempt.isStopping()) {
-            worker.stopping = worker.stopping.plus(more);
+            worker.stopping = worker.stopping.plus(added);
         }
         attempt.charged = to;
         workers.reindex(worker);
         if (attempt.job != null) {
-            queues.charge(attempt.job, more);
+            queues.charge(attempt.job, added);
         }
     }
 
-    /** Must follow every gain of free resources on a worker. */
-    void freed(WorkerState worker) {
+    /** Must be called after every gain of free resources on a worker. */
+    void noteFreed(WorkerState worker) {
         freedVersion++;
         queues.changed = true;
         if (worker.isUsable()) {
--- a/library/src/main/java/io/radishspindle/placement/internal/WorkerState.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/WorkerState.java
@@ -29,19 +29,19 @@
     Resources free;
     /** Charges of attempts that are being stopped. */
     Resources stopping = Resources.NONE;
-    /** Room kept for urgent tasks within the current pass. */
+    /** Capacity kept for waiting tasks within the current pass, set by {@link Preemptor}. */
     Resources earmarked = Resources.NONE;
 
     long lostAtMs;
     long quarantinedUntilMs;
     int quarantines;
-    /** Successive failures, by job; cleared by a success. */
-    final Map<String, FailedStart> failuresInRow = new LinkedHashMap<>();
+    /** Failures since the last success, by job. */
+    final Map<String, FailedTask> consecutiveFailures = new LinkedHashMap<>();
 
     int level = -1;
 
-    /** A failure on this worker, kept so that a quarantine can give the attempt back to the job. */
-    record FailedStart(JobState job, int index) {}
+    /** A task that failed on this worker, kept so that a quarantine can refund the failed attempt to its job. */
+    record FailedTask(JobState job, int index) {}
 
     WorkerState(WorkerInfo info) {
         this.id = info.id();
@@ -57,7 +57,7 @@
         return condition == Condition.USABLE && quarantinedUntilMs == 0;
     }
 
-    /** Free resources less the room kept for urgent tasks. */
+    /** Free resources less the earmarked capacity. */
     Resources freeForOthers() {
         return earmarked.equals(Resources.NONE) ? free : free.minus(earmarked);
     }
@@ -79,9 +79,9 @@
         }
     }
 
-    void checkNotOverfilled(@Nullable Object cause) {
+    void checkNotOvercommitted(@Nullable Object cause) {
         if (free.milliCores() < 0 || free.memoryMib() < 0 || free.accelerators() < 0) {
-            throw new IllegalStateException("worker " + id + " is overfilled by " + cause + ": free " + free);
+            throw new IllegalStateException("worker " + id + " is overcommitted by " + cause + ": free " + free);
         }
     }
 }
--- a/library/src/main/java/io/radishspindle/placement/internal/WorkerTable.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/WorkerTable.java
@@ -88,13 +88,13 @@
         return milliCores <= 0 ? 0 : Long.SIZE - Long.numberOfLeadingZeros(milliCores);
     }
 
-    /** The usable worker that a task fills best; null if it fits nowhere. */
+    /** Returns the usable worker with the lowest leftover score; null if the demand fits on none. */
     @Nullable
     WorkerState bestFit(Resources demand, Predicate<WorkerState> allowed) {
         if (demand.accelerators() == 0) {
-            WorkerState plain = bestInTier(tiers.get(0), demand, allowed);
-            if (plain != null) {
-                return plain;
+            WorkerState withoutAccelerators = bestInTier(tiers.get(0), demand, allowed);
+            if (withoutAccelerators != null) {
+                return withoutAccelerators;
             }
         }
         return bestInTier(tiers.get(1), demand, allowed);
@@ -102,18 +102,18 @@
 
     /**
      * Whether a task without accelerators leaves the cores and memory that the free accelerators of a worker will
-     * need: for each of them a quarter of its part of the worker.
+     * need: for each of them a quarter of its proportional share of the worker.
      */
     static boolean leavesAcceleratorsUsable(WorkerState worker, Resources demand) {
         Resources capacity = worker.info.capacity();
-        long idle = worker.free.accelerators();
-        if (demand.accelerators() > 0 || idle <= 0) {
+        long idleAccelerators = worker.free.accelerators();
+        if (demand.accelerators() > 0 || idleAccelerators <= 0) {
             return true;
         }
         long shares = 4L * capacity.accelerators();
         Resources left = worker.free.minus(demand);
-        return left.milliCores() >= capacity.milliCores() * idle / shares
-                && left.memoryMib() >= capacity.memoryMib() * idle / shares;
+        return left.milliCores() >= capacity.milliCores() * idleAccelerators / shares
+                && left.memoryMib() >= capacity.memoryMib() * idleAccelerators / shares;
     }
 
     private @Nullable WorkerState bestInTier(
@@ -139,21 +139,21 @@
     }
 
     /**
-     * How much of the worker would stay unused, with a penalty for leaving unlike parts of processors and memory,
-     * which later tasks could not use together. A worker that has just failed tasks is used last.
+     * Returns a score of how much of the worker would stay unused; lower is better. Leaving unequal fractions of cores
+     * and memory, which later tasks could not use together, is penalised; workers with recent failures come last.
      */
     static double leftover(WorkerState worker, Resources demand) {
         Resources capacity = worker.info.capacity();
         Resources free = worker.free;
-        double cores = part(free.milliCores() - demand.milliCores(), capacity.milliCores());
-        double memory = part(free.memoryMib() - demand.memoryMib(), capacity.memoryMib());
-        double accelerators = part(free.accelerators() - demand.accelerators(), capacity.accelerators());
-        double suspicion = 10.0 * worker.failuresInRow.size();
-        return cores + memory + accelerators + Math.abs(cores - memory) + suspicion;
+        double cores = fraction(free.milliCores() - demand.milliCores(), capacity.milliCores());
+        double memory = fraction(free.memoryMib() - demand.memoryMib(), capacity.memoryMib());
+        double accelerators = fraction(free.accelerators() - demand.accelerators(), capacity.accelerators());
+        double failurePenalty = 10.0 * worker.consecutiveFailures.size();
+        return cores + memory + accelerators + Math.abs(cores - memory) + failurePenalty;
     }
 
-    private static double part(long amount, long of) {
-        return of <= 0 ? 0 : (double) amount / of;
+    private static double fraction(long amount, long total) {
+        return total <= 0 ? 0 : (double) amount / total;
     }
 
     /** How many tasks fit into an amount of resources. */
@@ -165,7 +165,7 @@
         return (int) Math.max(0, count);
     }
 
-    private static long fitCount(long demand, long free, long otherwise) {
-        return demand <= 0 ? otherwise : free / demand;
+    private static long fitCount(long demand, long free, long ifNoDemand) {
+        return demand <= 0 ? ifNoDemand : free / demand;
     }
 }
