--- a/library/src/main/java/io/radishspindle/idempotency/AnswerCache.java
+++ b/library/src/main/java/io/radishspindle/idempotency/AnswerCache.java
@@ -15,51 +15,52 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Answers to keyed requests that this VM has passed on, bounded by their size. Thread-safe.
+ * Cache of the answers to keyed requests that this VM has delivered, bounded by their size. Thread-safe.
  *
  * <p>Invariant: an answer is returned only for the request that it belongs to.
  */
 final class AnswerCache {
     private static final long MAX_BYTES = 16L * 1024 * 1024;
-    /** Larger answers are not kept, so that one can't push out many small ones. */
+    /** Larger answers are not cached, so that one can't evict many small ones. */
     private static final int MAX_ANSWER_BYTES = 256 * 1024;
-    /** What a record costs beside its body, roughly. */
+    /** Approximate size of an entry without its body. */
     private static final int OVERHEAD_BYTES = 512;
 
-    private record Kept(long fingerprint, StoredAnswer answer) {}
+    private record CachedAnswer(long fingerprint, StoredAnswer answer) {}
 
-    private final Cache<KeyHash, Kept> answers;
+    private final Cache<KeyHash, CachedAnswer> answers;
 
     AnswerCache(Clock clock, Duration retention) {
         answers = Caffeine.newBuilder()
                 .maximumWeight(MAX_BYTES)
-                .weigher((KeyHash hash, Kept kept) -> kept.answer().body().length() + OVERHEAD_BYTES)
+                .weigher((KeyHash hash, CachedAnswer cached) ->
+                        cached.answer().body().length() + OVERHEAD_BYTES)
                 .expireAfterWrite(retention)
                 .ticker(() -> TimeUnit.MILLISECONDS.toNanos(clock.nowMs()))
                 .executor(Runnable::run)
                 .build();
     }
 
-    void keep(KeyedRequest request, StoredAnswer answer) {
+    void put(KeyedRequest request, StoredAnswer answer) {
         if (answer.body().length() <= MAX_ANSWER_BYTES) {
-            answers.put(KeyHash.of(request), new Kept(request.fingerprint(), answer));
+            answers.put(KeyHash.of(request), new CachedAnswer(request.fingerprint(), answer));
         }
     }
 
-    /** What is known of the request without the store; null if nothing is. */
+    /** The result for a request whose key is in the cache; null if it isn't. */
     @Nullable
     Either<Failure, BeginResult> find(KeyedRequest request) {
-        Kept kept = answers.getIfPresent(KeyHash.of(request));
-        if (kept == null) {
+        CachedAnswer cached = answers.getIfPresent(KeyHash.of(request));
+        if (cached == null) {
             return null;
         }
-        if (kept.fingerprint() != request.fingerprint()) {
-            return Either.left(otherRequest(request));
+        if (cached.fingerprint() != request.fingerprint()) {
+            return Either.left(keyReused(request));
         }
-        return Either.right(new BeginResult.Finished(kept.answer().status(), Optional.of(kept.answer())));
+        return Either.right(new BeginResult.Finished(cached.answer().status(), Optional.of(cached.answer())));
     }
 
-    static Failure otherRequest(KeyedRequest request) {
+    static Failure keyReused(KeyedRequest request) {
         String message = "Idempotency-Key " + request.key() + " was used for another request";
         return Failure.rejected(ErrorCode.CONFLICT, "idempotency.begin", message);
     }
--- a/library/src/main/java/io/radishspindle/idempotency/BucketOperation.java
+++ b/library/src/main/java/io/radishspindle/idempotency/BucketOperation.java
@@ -20,7 +20,7 @@
  * @param <T> result of the operation
  */
 abstract class BucketOperation<T> {
-    /** Records of one bucket; about 100 KB, well below the store's limit of 1 MB for a value. */
+    /** Maximum number of records in one bucket; about 100 KB, well below the store's limit of 1 MB for a value. */
     static final int MAX_RECORDS = 2_000;
     /** Retry-After of a full bucket, in milliseconds. */
     private static final long FULL_RETRY_MS = 60_000;
@@ -28,7 +28,7 @@
     final Claim claim;
     final KeyHash hash;
     final long giveUpAtMs;
-    /** A write with this operation was sent and may have been applied. */
+    /** True once a write with this operation was sent, which may have been applied. */
     boolean maybeWritten;
 
     private final Promise<Either<Failure, T>> promise = Promise.promise();
@@ -49,11 +49,11 @@
         return promise.future();
     }
 
-    void result(Either<Failure, T> value) {
+    void setResult(Either<Failure, T> value) {
         result = value;
     }
 
-    /** Publishes the result of the last {@link #apply}; false if the operation has already failed. */
+    /** Completes the future with the result of the last {@link #apply}; false if the operation has already failed. */
     boolean finish() {
         if (result == null) {
             throw new IllegalStateException("operation finished before it was applied");
@@ -75,8 +75,8 @@
         boolean apply(BucketValue value, long wallMs) {
             Entry entry = value.find(hash);
             if (entry == null && value.size() >= MAX_RECORDS) {
-                String message = claim.recordKey() + " holds " + MAX_RECORDS + " requests";
-                result(Either.left(
+                String message = claim.bucketKey() + " holds " + MAX_RECORDS + " requests";
+                setResult(Either.left(
                         Failure.retryable(ErrorCode.OVERLOADED, "idempotency.begin", "store", message, FULL_RETRY_MS)));
                 return false;
             }
@@ -88,10 +88,10 @@
                         claim.claimId(),
                         BucketValue.NO_STATUS,
                         wallMs));
-                result(Either.right(new BeginResult.Granted(claim)));
+                setResult(Either.right(new BeginResult.Granted(claim)));
                 return true;
             }
-            result(existing(entry));
+            setResult(existing(entry));
             return false;
         }
 
@@ -100,10 +100,12 @@
                 return Either.right(new BeginResult.Granted(claim));
             }
             if (entry.fingerprint() != claim.request().fingerprint()) {
-                return Either.left(AnswerCache.otherRequest(claim.request()));
+                return Either.left(AnswerCache.keyReused(claim.request()));
             }
             return Either.right(
-                    entry.isFinished() ? new BeginResult.Finished(entry.status(), Optional.empty()) : new BeginResult.Unresolved());
+                    entry.isFinished()
+                            ? new BeginResult.Finished(entry.status(), Optional.empty())
+                            : new BeginResult.Unresolved());
         }
     }
 
@@ -119,7 +121,7 @@
         @Override
         @SuppressWarnings("NullAway")
         boolean apply(BucketValue value, long wallMs) {
-            result(Either.right(null));
+            setResult(Either.right(null));
             Entry entry = value.find(hash);
             if (entry == null || !entry.claimId().equals(claim.claimId()) || entry.status() == status) {
                 return false;
@@ -145,7 +147,7 @@
         @Override
         @SuppressWarnings("NullAway")
         boolean apply(BucketValue value, long wallMs) {
-            result(Either.right(null));
+            setResult(Either.right(null));
             Entry entry = value.find(hash);
             if (entry == null || !entry.claimId().equals(claim.claimId()) || entry.isFinished()) {
                 return fence;
--- a/library/src/main/java/io/radishspindle/idempotency/KeyHash.java
+++ b/library/src/main/java/io/radishspindle/idempotency/KeyHash.java
@@ -5,8 +5,8 @@
 import io.radishspindle.idempotency.KeyedRequests.KeyedRequest;
 
 /**
- * Hash of service, caller and key. Keys of the callers are long and would make up most of a bucket; with 128 bits two
- * of them never meet in practice. Immutable and thread-safe.
+ * Hash of service, caller and key. The keys of callers are long and would take most of a bucket; hashes of 128
+ * bits don't collide in practice. Immutable and thread-safe.
  */
 record KeyHash(long high, long low) {
     static KeyHash of(KeyedRequest request) {
--- a/library/src/main/java/io/radishspindle/idempotency/KeyedRequests.java
+++ b/library/src/main/java/io/radishspindle/idempotency/KeyedRequests.java
@@ -18,7 +18,8 @@
     /**
      * A request with a key.
      *
-     * @param fingerprint hash of method, path and body; a key with another fingerprint is a mistake of the caller
+     * @param fingerprint hash of method, path and body; reuse of a key with another fingerprint is an error of the
+     *     caller
      */
     record KeyedRequest(String service, String caller, String key, long fingerprint) {}
 
@@ -27,17 +28,17 @@
      *
      * @param claimId unique among all claims
      */
-    record Claim(KeyedRequest request, String recordKey, String claimId) {}
+    record Claim(KeyedRequest request, String bucketKey, String claimId) {}
 
-    /** The whole answer to a keyed request. Immutable by convention. */
+    /** The complete answer to a keyed request. Immutable by convention. */
     record StoredAnswer(int status, List<Map.Entry<String, String>> headers, Buffer body) {}
 
-    /** What is known of a request when it arrives. */
+    /** Result of {@link #begin}. */
     sealed interface BeginResult {
         /** The request is new and its intent is in the store. */
         record Granted(Claim claim) implements BeginResult {}
 
-        /** The request has run; the answer is present while this VM remembers it. */
+        /** The request has run; the answer is present while it is in this VM's cache. */
         record Finished(int status, Optional<StoredAnswer> answer) implements BeginResult {}
 
         /** The request is in progress, or was sent and its outcome is unknown. */
@@ -45,12 +46,12 @@
     }
 
     /**
-     * Records the intent, or finds the earlier one. A failure means that nothing was sent and that no claim is held;
-     * a key that was used for another request yields {@code CONFLICT}.
+     * Records the intent to run the request, or finds the earlier record of its key. A failure means that nothing was
+     * sent and that no claim is held; a key that was used for another request yields {@code CONFLICT}.
      */
     Future<Either<Failure, BeginResult>> begin(KeyedRequest request, long deadlineAtMs);
 
-    /** Records the outcome. If the store can't be reached in time, the intent stays and the outcome stays unknown. */
+    /** Records the outcome. If the store stays unavailable, the intent stays and the outcome stays unknown. */
     Future<Either<Failure, Void>> complete(Claim claim, StoredAnswer answer);
 
     /** Removes the intent of a request that certainly did not run, so that a repeat is possible. */
--- a/library/src/main/java/io/radishspindle/idempotency/StoreKeyedRequests.java
+++ b/library/src/main/java/io/radishspindle/idempotency/StoreKeyedRequests.java
@@ -25,18 +25,21 @@
 public final class StoreKeyedRequests implements KeyedRequests {
     static final int BUCKETS = 256;
     static final Duration RETENTION = Duration.ofHours(1);
-    /** How long intents are collected, in milliseconds. */
-    private static final long COLLECT_INTENTS_MS = 10;
-    /** Nobody waits for outcomes, so that most of them join the write of a later intent. In milliseconds. */
-    private static final long COLLECT_OUTCOMES_MS = 200;
-    /** A caller is refused after this time without the store, whatever its deadline. In milliseconds. */
-    private static final long MAX_BEGIN_MS = 2_000;
-    /** How long outcomes and releases are tried, in milliseconds. */
-    private static final long BACKGROUND_MS = 60_000;
+    /** How long intents are collected for one write, in milliseconds. */
+    private static final long INTENT_BATCH_MS = 10;
+    /**
+     * How long outcomes are collected, in milliseconds; longer, as no caller waits for them and most can then join the
+     * write of a later intent.
+     */
+    private static final long OUTCOME_BATCH_MS = 200;
+    /** A caller is refused if the store is unavailable for this long, whatever its deadline, in milliseconds. */
+    private static final long BEGIN_TIMEOUT_MS = 2_000;
+    /** How long outcomes and releases are retried, in milliseconds. */
+    private static final long BACKGROUND_TIMEOUT_MS = 60_000;
     /** How long a caller that is refused waits for the release of its intent, in milliseconds. */
     private static final long RELEASE_WAIT_MS = 500;
 
-    private static final int MAX_OPEN = 10_000;
+    private static final int MAX_PENDING_OPERATIONS = 10_000;
     private static final int RADIX = 36;
 
     private final BucketWriter.Environment environment;
@@ -44,7 +47,7 @@
     private final int buckets;
     private final SecureRandom random = new SecureRandom();
     private final Map<Integer, BucketWriter> writers = new HashMap<>();
-    private int open;
+    private int pendingOperations;
 
     public StoreKeyedRequests(Vertx vertx, Clock clock, Store store) {
         this(
@@ -52,7 +55,7 @@
                         store,
                         clock,
                         timersOf(vertx, vertx.getOrCreateContext()),
-                        BucketWriter.Executor.of(vertx.getOrCreateContext()),
+                        BucketWriter.EventLoop.of(vertx.getOrCreateContext()),
                         RETENTION.toMillis()),
                 BUCKETS);
     }
@@ -69,72 +72,76 @@
         if (known != null) {
             return Future.succeededFuture(known);
         }
-        long giveUpAtMs = Math.min(deadlineAtMs, environment.clock().nowMs() + MAX_BEGIN_MS);
+        long giveUpAtMs = Math.min(deadlineAtMs, environment.clock().nowMs() + BEGIN_TIMEOUT_MS);
         String claimId = Long.toString(random.nextLong(), RADIX);
-        Claim claim = new Claim(request, recordKey(KeyHash.of(request)), claimId);
-        return submit(new BucketOperation.Begin(claim, giveUpAtMs), COLLECT_INTENTS_MS);
+        Claim claim = new Claim(request, bucketKey(KeyHash.of(request)), claimId);
+        return submit(new BucketOperation.Begin(claim, giveUpAtMs), INTENT_BATCH_MS);
     }
 
     @Override
     public Future<Either<Failure, Void>> complete(Claim claim, StoredAnswer answer) {
-        answers.keep(claim.request(), answer);
-        return submit(new BucketOperation.Complete(claim, answer.status(), backgroundEnd()), COLLECT_OUTCOMES_MS);
+        answers.put(claim.request(), answer);
+        return submit(new BucketOperation.Complete(claim, answer.status(), backgroundDeadline()), OUTCOME_BATCH_MS);
     }
 
-    /** Completes after a short while at the latest; the release is tried on in the background. */
+    /** Completes after {@link #RELEASE_WAIT_MS} at the latest; the release is retried in the background. */
     @Override
     public Future<Either<Failure, Void>> release(Claim claim) {
         Promise<Either<Failure, Void>> promise = Promise.promise();
-        submit(new BucketOperation.Release(claim, false, backgroundEnd()), COLLECT_INTENTS_MS)
+        submit(new BucketOperation.Release(claim, false, backgroundDeadline()), INTENT_BATCH_MS)
                 .onComplete(done -> promise.tryComplete(done.result()));
         Failure pending = Failure.unknown("idempotency.release", "store", "the release is not confirmed yet");
-        environment.executor().execute(() -> environment
+        environment.eventLoop().execute(() -> environment
                 .timers()
                 .after(RELEASE_WAIT_MS, () -> promise.tryComplete(Either.left(pending))));
         return promise.future();
     }
 
     private <T> Future<Either<Failure, T>> submit(BucketOperation<T> operation, long delayMs) {
-        environment.executor().execute(() -> enqueue(operation, delayMs));
+        environment.eventLoop().execute(() -> enqueue(operation, delayMs));
         return operation.future();
     }
 
     private void enqueue(BucketOperation<?> operation, long delayMs) {
-        if (open >= MAX_OPEN) {
+        if (pendingOperations >= MAX_PENDING_OPERATIONS) {
             operation.fail(Failure.retryable(
                     ErrorCode.OVERLOADED,
                     "idempotency.queue",
                     "store",
-                    MAX_OPEN + " records wait for the store",
+                    MAX_PENDING_OPERATIONS + " records wait for the store",
                     1_000));
             return;
         }
-        open++;
-        operation.future().onComplete(done -> open--);
+        pendingOperations++;
+        operation.future().onComplete(done -> pendingOperations--);
         int bucket = operation.hash.bucket(buckets);
-        writers.computeIfAbsent(bucket, b -> new BucketWriter(operation.claim.recordKey(), environment, this::undo))
+        writers.computeIfAbsent(
+                        bucket, b -> new BucketWriter(operation.claim.bucketKey(), environment, this::onOutcomeUnknown))
                 .add(operation, delayMs);
     }
 
-    /** An intent that was given up must not block its key for the whole retention. */
-    private void undo(BucketOperation<?> operation) {
+    /**
+     * Releases an intent that was given up but may be in the store, where it would block its key for the whole
+     * retention.
+     */
+    private void onOutcomeUnknown(BucketOperation<?> operation) {
         if (operation instanceof BucketOperation.Begin) {
-            enqueue(new BucketOperation.Release(operation.claim, true, backgroundEnd()), COLLECT_OUTCOMES_MS);
+            enqueue(new BucketOperation.Release(operation.claim, true, backgroundDeadline()), OUTCOME_BATCH_MS);
             return;
         }
         Logger.warn(
                 "event=idempotency-given-up operation={} key={} claim={}",
                 operation.getClass().getSimpleName(),
-                operation.claim.recordKey(),
+                operation.claim.bucketKey(),
                 operation.claim.claimId());
     }
 
-    private String recordKey(KeyHash hash) {
+    private String bucketKey(KeyHash hash) {
         return "idempotency/" + hash.bucket(buckets);
     }
 
-    private long backgroundEnd() {
-        return environment.clock().nowMs() + BACKGROUND_MS;
+    private long backgroundDeadline() {
+        return environment.clock().nowMs() + BACKGROUND_TIMEOUT_MS;
     }
 
     private static Timers timersOf(Vertx vertx, Context context) {
--- a/library/src/main/java/io/radishspindle/idempotency/package-info.java
+++ b/library/src/main/java/io/radishspindle/idempotency/package-info.java
@@ -1,3 +1,3 @@
-/** Record of keyed non-idempotent requests in the store. */
+/** Records of requests with an Idempotency-Key in the store, so that each runs at most once. */
 @org.jspecify.annotations.NullMarked
 package io.radishspindle.idempotency;
--- a/library/src/test/java/io/radishspindle/idempotency/FakeStore.java
+++ b/library/src/test/java/io/radishspindle/idempotency/FakeStore.java
@@ -12,7 +12,7 @@
 import java.util.function.Supplier;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Store in virtual time that loses answers, delays writes and has outages, as seeded. */
+/** Store in virtual time that loses answers, delays writes and has outages, decided by a seeded random source. */
 public final class FakeStore implements Store {
     private static final long TIMEOUT_MS = 200;
 
@@ -20,11 +20,15 @@
     private final UniformRandomProvider random;
     private final Map<String, Entry> entries = new HashMap<>();
     private long revision;
+    /** Probability that the answer to a call is lost after the call took effect. */
     public double loseAnswer;
+    /** Probability that a call never reaches the store. */
     public double loseRequest;
+    /** Probability that a call takes effect only after its caller's timeout. */
     public double delay;
+    /** The store is unavailable: it receives no call. */
     public boolean down;
-    /** Compare-and-swap off, to show that a test notices its absence. */
+    /** Turns compare-and-swap off, to show that a test detects its absence. */
     public boolean ignoreVersions;
 
     public int writes;
--- a/library/src/test/java/io/radishspindle/idempotency/StoreKeyedRequestsTest.java
+++ b/library/src/test/java/io/radishspindle/idempotency/StoreKeyedRequestsTest.java
@@ -124,7 +124,7 @@
         assertThat(begin(vm(), ORDER).get()).isInstanceOf(BeginResult.Granted.class);
     }
 
-    /** Guards against a lost answer or a late write that lets two VMs send the same request. */
+    /** Guards against a lost answer or a delayed write after which two VMs both get the claim of a key. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
     void should_never_grant_a_key_twice_when_answers_are_lost(long seed) {
@@ -135,9 +135,9 @@
         assertThat(claims.granted).isGreaterThanOrEqualTo(20);
     }
 
-    /** Shows that the run above notices a key that is granted twice. */
+    /** Shows that the check of the previous test detects a key that is granted twice. */
     @Test
-    void should_notice_double_grants_when_compare_and_swap_is_off() {
+    void should_detect_double_grants_when_compare_and_swap_is_off() {
         // when
         Claims claims = runWithFaults(1, true);
         // then
