--- a/library/src/main/java/io/radishspindle/routing/AttemptOutcome.java
+++ b/library/src/main/java/io/radishspindle/routing/AttemptOutcome.java
@@ -6,18 +6,18 @@
 /** How one attempt of a request ended. Implementations are immutable. */
 public sealed interface AttemptOutcome {
     /**
-     * A whole answer.
+     * A complete answer.
      *
-     * @param leaving the executor asks for no further work
+     * @param leaving the executor is leaving and requests no further work
      */
     record Answered(int status, boolean leaving) implements AttemptOutcome {}
 
     /** The executor had no free slot and did not run the request. */
     record Busy(boolean leaving) implements AttemptOutcome {}
 
-    /** No whole answer; {@link Failure#notRun} tells whether the request can have run. */
+    /** No complete answer; {@link Failure#notRun} is true if the request can't have run. */
     record Failed(Failure failure) implements AttemptOutcome {
-        /** The request can't be sent to any executor as it is. */
+        /** True if the request is invalid, so that no executor would accept it. */
         boolean isCallersFault() {
             return failure.notRun() && failure.code() == ErrorCode.INVALID_REQUEST;
         }
--- a/library/src/main/java/io/radishspindle/routing/RoutingAction.java
+++ b/library/src/main/java/io/radishspindle/routing/RoutingAction.java
@@ -17,7 +17,10 @@
     /** Answers the caller with a failure; final. */
     record Refuse(long requestId, Failure failure) implements RoutingAction {}
 
-    /** The request left the queue because its caller is gone; it did not run unless {@code mayHaveRun}. Final. */
+    /**
+     * The request left the queue because its caller closed its connection; it did not run unless {@code mayHaveRun}.
+     * Final.
+     */
     record Abandon(long requestId, boolean mayHaveRun) implements RoutingAction {}
 
     /** Probes an endpoint; answered by {@link RoutingEvent.ProbeCompleted}. */
--- a/library/src/main/java/io/radishspindle/routing/RoutingOptions.java
+++ b/library/src/main/java/io/radishspindle/routing/RoutingOptions.java
@@ -9,21 +9,25 @@
 /**
  * Options of a {@link RoutingCore}. Immutable and thread-safe.
  *
+ * @param settings routing section of the settings file
  * @param regions region of each data centre
- * @param safeguards mechanisms in force
+ * @param safeguards safeguards in force
  */
 public record RoutingOptions(EntrySettings.Routing settings, Map<String, String> regions, Set<Safeguard> safeguards) {
     /** Time between ticks, in milliseconds; bounds how late a passed deadline is noticed. */
     public static final long TICK_MS = 10;
-    /** The same while no request is pending; each tick of an idle VM costs about 0.1 ms of processor time. */
+    /**
+     * Time between ticks while no request is pending, in milliseconds; each tick of an idle VM costs about 0.1 ms of
+     * processor time.
+     */
     static final long IDLE_TICK_MS = 100;
     /** Largest body that is forwarded to another region, in bytes. */
     static final int MAX_REMOTE_BODY_BYTES = 64 * 1024;
-    /** Largest body that is forwarded at all, in bytes; leaves room for headers in a frame of 1 MiB. */
+    /** Largest body that is forwarded at all, in bytes, so that it fits with its headers into a frame of 1 MiB. */
     static final int MAX_FORWARD_BODY_BYTES = 900 * 1024;
-    /** Forwards of one request that a peer refused as not run, after which it waits at this VM. */
+    /** Forwards of one request that peers may refuse as not run before the request waits at this VM. */
     static final int MAX_FORWARDS = 2;
-    /** The same for a VM that has no slot of the service, where waiting is pointless. */
+    /** {@link #MAX_FORWARDS} of a VM that has no slot of the service, where waiting is pointless. */
     static final int MAX_FORWARDS_WITHOUT_SLOTS = 20;
 
     public RoutingOptions {
@@ -31,7 +35,7 @@
         safeguards = Set.copyOf(safeguards);
     }
 
-    /** The limits of a VM, with all mechanisms in force. */
+    /** The options of a VM, with all safeguards in force. */
     public static RoutingOptions of(EntrySettings settings) {
         Map<String, String> regions = new HashMap<>();
         for (String entry : settings.peers().regions()) {
@@ -43,7 +47,7 @@
         return new RoutingOptions(settings.routing(), regions, EnumSet.allOf(Safeguard.class));
     }
 
-    /** The same limits without one mechanism. */
+    /** These options without one safeguard. */
     public RoutingOptions without(Safeguard safeguard) {
         Set<Safeguard> others = EnumSet.allOf(Safeguard.class);
         others.retainAll(safeguards);
--- a/library/src/main/java/io/radishspindle/routing/RoutingStats.java
+++ b/library/src/main/java/io/radishspindle/routing/RoutingStats.java
@@ -65,7 +65,7 @@
         return abandoned.sum();
     }
 
-    /** Answers that belonged to no open attempt and were dropped. */
+    /** Answers that belonged to no attempt in flight and were dropped. */
     public long unexpectedAnswers() {
         return unexpectedAnswers.sum();
     }
@@ -74,7 +74,7 @@
         return missedProbes.sum();
     }
 
-    /** Times that an executor was taken out for failing or being slow. */
+    /** Ejections of executors that failed or were slow. */
     public long ejections() {
         return ejections.sum();
     }
--- a/library/src/main/java/io/radishspindle/routing/ServiceLimitsTable.java
+++ b/library/src/main/java/io/radishspindle/routing/ServiceLimitsTable.java
@@ -5,7 +5,7 @@
 /**
  * Limits of all services. Immutable and thread-safe.
  *
- * @param defaults limits of services without an exception
+ * @param defaults limits of services without limits of their own
  * @param exceptions limits by name of service
  */
 public record ServiceLimitsTable(ServiceLimits defaults, Map<String, ServiceLimits> exceptions) {
--- a/library/src/main/java/io/radishspindle/routing/SlotAssignment.java
+++ b/library/src/main/java/io/radishspindle/routing/SlotAssignment.java
@@ -10,7 +10,7 @@
  * Splits the slots of executors among entry VMs by rendezvous hashing. Stateless and thread-safe.
  *
  * <p>Invariant: for one list of VMs, each slot belongs to exactly one VM, and a VM that joins or leaves changes only
- * the slots that it gains or had.
+ * the owners of slots that it gains or loses.
  */
 final class SlotAssignment {
     private SlotAssignment() {}
--- a/library/src/main/java/io/radishspindle/routing/SlotTable.java
+++ b/library/src/main/java/io/radishspindle/routing/SlotTable.java
@@ -19,7 +19,7 @@
     private Map<String, Assignment> byEndpoint = new HashMap<>();
     private final Map<String, List<String>> vmsByDataCentre = new HashMap<>();
 
-    /** Recomputes what has changed. */
+    /** Recomputes the slots of endpoints whose slots or VMs have changed. */
     void update(MembershipView view) {
         vmsByDataCentre.clear();
         Map<String, Assignment> next = new HashMap<>();
@@ -45,7 +45,10 @@
         return Math.max(1, endpoint.connections() / Math.max(1, vms));
     }
 
-    /** A VM that is leaving still counts itself, so that it can finish its queue with its own slots. */
+    /**
+     * Live VMs of a data centre. A leaving VM still includes itself, so that it can finish its queue with its own
+     * slots.
+     */
     private static List<String> vmsOf(String dataCentre, MembershipView view) {
         TreeSet<String> ids = new TreeSet<>();
         for (EntryVm vm : view.liveEntryVms(dataCentre)) {
