--- a/library/src/main/java/io/radishspindle/routing/Admission.java
+++ b/library/src/main/java/io/radishspindle/routing/Admission.java
@@ -7,14 +7,14 @@
 
 /** Decides whether a new request may join the queue of its service. Not thread-safe. */
 final class Admission {
-    /** Spread of Retry-After, so that refused callers don't all return at the same moment. */
+    /** Random share added to Retry-After, so that refused callers don't all retry at the same moment. */
     private static final double RETRY_JITTER = 0.25;
 
     /**
      * Result of a check.
      *
      * @param refusal why the request is refused; null if it may join
-     * @param displaced waiting request of a lower class that must leave first; null if none
+     * @param displaced queued request of a lower class that must leave the queue first; null if none
      */
     record Decision(@Nullable Failure refusal, @Nullable Request displaced) {}
 
@@ -65,7 +65,7 @@
         if (service.queue.size() < perService) {
             return JOIN;
         }
-        Request displaced = service.queue.lowestBelow(arrival.requestClass());
+        Request displaced = service.queue.displacementCandidate(arrival.requestClass());
         if (displaced != null) {
             return new Decision(null, displaced);
         }
@@ -73,7 +73,7 @@
         return new Decision(Refusals.queueFull("service " + service.name, perService, retryMs), null);
     }
 
-    /** Expected time until half of what waits in the class is served, in milliseconds. */
+    /** Retry-After of a refusal: expected time until half of the class's queue is served, in milliseconds. */
     long retryAfterMs(ServiceState service, RequestClass requestClass, long nowMs) {
         int shares = 0;
         for (RequestClass other : RequestClass.values()) {
--- a/library/src/main/java/io/radishspindle/routing/BodyReader.java
+++ b/library/src/main/java/io/radishspindle/routing/BodyReader.java
@@ -20,7 +20,7 @@
     static final String STEP = "routing.body";
 
     private static final String TOO_LARGE = "the body is larger than ";
-    /** Bytes of all bodies that are being read; a VM has 256 MB for everything. */
+    /** Limit of the bytes of all bodies that are being read; the whole process of a VM has 256 MB. */
     private static final long MAX_BUFFERED_BYTES = 64L * 1024 * 1024;
 
     private final Vertx vertx;
@@ -34,7 +34,7 @@
 
     /** Reads the body; the future never fails. A failure means that the request is refused, not run. */
     Future<Either<Failure, Buffer>> read(HttpServerRequest request, long timeoutMs) {
-        if (announcedBytes(request) > maxBodyBytes) {
+        if (contentLength(request) > maxBodyBytes) {
             return Future.succeededFuture(Either.left(tooLarge()));
         }
         Promise<Either<Failure, Buffer>> result = Promise.promise();
@@ -42,7 +42,7 @@
         long timer = vertx.setTimer(Math.max(1, timeoutMs), id -> result.tryComplete(Either.left(tooSlow())));
         request.handler(chunk -> append(chunk, body, result));
         request.endHandler(end -> result.tryComplete(Either.right(body)));
-        request.exceptionHandler(e -> result.tryComplete(Either.left(broken(e))));
+        request.exceptionHandler(e -> result.tryComplete(Either.left(endedEarly(e))));
         request.resume();
         return result.future().onComplete(done -> {
             vertx.cancelTimer(timer);
@@ -69,11 +69,11 @@
         }
         body.appendBuffer(chunk);
         if (buffered.addAndGet(chunk.length()) > MAX_BUFFERED_BYTES) {
-            result.tryComplete(Either.left(outOfMemory()));
+            result.tryComplete(Either.left(bufferFull()));
         }
     }
 
-    private static long announcedBytes(HttpServerRequest request) {
+    private static long contentLength(HttpServerRequest request) {
         String length = request.getHeader(HttpHeaders.CONTENT_LENGTH);
         try {
             return length == null ? 0 : Long.parseLong(length);
@@ -90,11 +90,11 @@
         return Failure.rejected(ErrorCode.DEADLINE_EXCEEDED, STEP, "the deadline passed before the body was received");
     }
 
-    private static Failure broken(Throwable cause) {
+    private static Failure endedEarly(Throwable cause) {
         return Failure.rejected(ErrorCode.INVALID_REQUEST, STEP, "the body ended early: " + cause.getMessage());
     }
 
-    private static Failure outOfMemory() {
+    private static Failure bufferFull() {
         return Failure.retryable(
                 ErrorCode.OVERLOADED, STEP, "", "too many bodies are being received", Refusals.DEFAULT_RETRY_MS);
     }
--- a/library/src/main/java/io/radishspindle/routing/CallerRequest.java
+++ b/library/src/main/java/io/radishspindle/routing/CallerRequest.java
@@ -13,7 +13,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The head of a caller's request, checked. Immutable and thread-safe.
+ * The validated head of a caller's request. Immutable and thread-safe.
  *
  * @param path path and query for the executor, starting with a slash
  * @param idempotencyKey empty for a request that is idempotent by its method, and for one without a key
@@ -35,7 +35,7 @@
 
     private static final String STEP = "routing.parse";
     private static final Set<String> IDEMPOTENT_METHODS = Set.of("GET", "HEAD", "OPTIONS", "PUT", "DELETE");
-    private static final Set<String> OTHER_METHODS = Set.of("POST", "PATCH");
+    private static final Set<String> NON_IDEMPOTENT_METHODS = Set.of("POST", "PATCH");
     private static final int MAX_NAME_LENGTH = 200;
     private static final int MAX_HEADERS = 100;
     private static final int MAX_HEADER_BYTES = 32 * 1024;
@@ -46,28 +46,28 @@
 
     /** Checks the head of a request; a failure means that the request is refused, not run. */
     static Either<Failure, CallerRequest> parse(
-            HttpServerRequest request, String service, EntrySettings.Routing limits, long nowMs) {
+            HttpServerRequest request, String service, EntrySettings.Routing settings, long nowMs) {
         MultiMap headers = request.headers();
         String method = request.method().name();
-        if (!IDEMPOTENT_METHODS.contains(method) && !OTHER_METHODS.contains(method)) {
+        if (!IDEMPOTENT_METHODS.contains(method) && !NON_IDEMPOTENT_METHODS.contains(method)) {
             return invalid("method " + method + " is not supported");
         }
-        Optional<String> sizeFault = sizeFault(headers);
-        if (sizeFault.isPresent()) {
-            return invalid(sizeFault.get());
+        Optional<String> headerSizeError = headerSizeError(headers);
+        if (headerSizeError.isPresent()) {
+            return invalid(headerSizeError.get());
         }
         String caller = Optional.ofNullable(headers.get("Caller")).orElse(ANONYMOUS);
         String key = headers.get("Idempotency-Key");
-        if (isBadName(caller) || (key != null && isBadName(key))) {
+        if (isInvalidName(caller) || (key != null && isInvalidName(key))) {
             return invalid("Caller and Idempotency-Key need 1 to " + MAX_NAME_LENGTH + " characters");
         }
         Optional<RequestClass> requestClass = requestClass(headers.get("Request-Class"));
         if (requestClass.isEmpty()) {
             return invalid("Request-Class must be interactive, normal or bulk");
         }
-        Optional<Long> deadlineMs = deadlineMs(headers.get("Deadline-Ms"), limits);
+        Optional<Long> deadlineMs = deadlineMs(headers.get("Deadline-Ms"), settings);
         if (deadlineMs.isEmpty()) {
-            return invalid("Deadline-Ms must be a whole number from 1 to " + limits.maxDeadlineMs());
+            return invalid("Deadline-Ms must be a whole number from 1 to " + settings.maxDeadlineMs());
         }
         boolean idempotent = isIdempotent(method);
         return Either.right(new CallerRequest(
@@ -76,7 +76,7 @@
                 requestClass.get(),
                 method,
                 executorPath(request.uri(), request.path()),
-                HopHeaders.ofRequest(headers),
+                EndToEndHeaders.ofRequest(headers),
                 idempotent,
                 idempotent ? Optional.empty() : Optional.ofNullable(key),
                 nowMs,
@@ -93,7 +93,7 @@
         return pathInUri < 0 ? path.substring(start) : uri.substring(pathInUri + start);
     }
 
-    private static Optional<String> sizeFault(MultiMap headers) {
+    private static Optional<String> headerSizeError(MultiMap headers) {
         int bytes = 0;
         for (Map.Entry<String, String> header : headers) {
             bytes += header.getKey().length() + header.getValue().length();
@@ -104,7 +104,7 @@
         return Optional.empty();
     }
 
-    private static boolean isBadName(String name) {
+    private static boolean isInvalidName(String name) {
         return name.isBlank() || name.length() > MAX_NAME_LENGTH;
     }
 
@@ -112,13 +112,13 @@
         return header == null ? Optional.of(RequestClass.NORMAL) : RequestClass.parse(header);
     }
 
-    private static Optional<Long> deadlineMs(@Nullable String header, EntrySettings.Routing limits) {
+    private static Optional<Long> deadlineMs(@Nullable String header, EntrySettings.Routing settings) {
         if (header == null) {
-            return Optional.of(limits.defaultDeadlineMs());
+            return Optional.of(settings.defaultDeadlineMs());
         }
         try {
             long value = Long.parseLong(header.strip());
-            boolean inRange = value >= 1 && value <= limits.maxDeadlineMs();
+            boolean inRange = value >= 1 && value <= settings.maxDeadlineMs();
             return inRange ? Optional.of(value) : Optional.empty();
         } catch (NumberFormatException e) {
             return Optional.empty();
--- a/library/src/main/java/io/radishspindle/routing/CallerResponder.java
+++ b/library/src/main/java/io/radishspindle/routing/CallerResponder.java
@@ -19,10 +19,10 @@
 /**
  * Writes the final answer to a caller, on the event loop of its connection. Thread-safe.
  *
- * <p>Invariant: a caller that reads too slowly sees a closed connection, never a shortened answer that looks whole.
+ * <p>Invariant: a caller that reads too slowly sees a closed connection, never a truncated answer that looks complete.
  */
 final class CallerResponder implements Responder {
-    /** How long a caller may take to read its answer, in milliseconds. */
+    /** How long a caller may take to read its answer before its connection is closed, in milliseconds. */
     private static final long WRITE_TIMEOUT_MS = 30_000;
 
     private static final int PAYLOAD_TOO_LARGE = 413;
@@ -40,7 +40,7 @@
 
     @Override
     public Future<Void> answer(ServiceResponse response) {
-        List<Map.Entry<String, String>> headers = HopHeaders.ofResponse(response.headers());
+        List<Map.Entry<String, String>> headers = EndToEndHeaders.ofResponse(response.headers());
         return onContext(() -> write(response, headers));
     }
 
@@ -50,13 +50,14 @@
     }
 
     @Override
-    public boolean isGone() {
+    public boolean isDisconnected() {
         return request.response().closed();
     }
 
     private Future<Void> onContext(Supplier<Future<Void>> write) {
         Promise<Void> done = Promise.promise();
-        // compose turns an exception into a failure, so that a drain never waits for an answer that can't be written.
+        // compose turns an exception into a failed future, so that a drain never waits for an answer that can't be
+        // written.
         context.runOnContext(v -> Future.<Void>succeededFuture()
                 .compose(ignored -> write.get())
                 .onComplete(written -> done.tryComplete()));
@@ -81,8 +82,8 @@
     private Future<Void> writeFailure(Failure failure) {
         HttpServerResponse response = request.response();
         boolean unread = BodyReader.leavesBodyUnread(failure);
-        boolean leave = unread || failure.code() == ErrorCode.SHUTTING_DOWN;
-        if (leave && !response.closed() && !response.headWritten()) {
+        boolean closeConnection = unread || failure.code() == ErrorCode.SHUTTING_DOWN;
+        if (closeConnection && !response.closed() && !response.headWritten()) {
             response.putHeader("Connection", "close");
         }
         Future<Void> written = BodyReader.isTooLarge(failure)
--- a/library/src/main/java/io/radishspindle/routing/HopHeaders.java
+++ b/library/src/main/java/io/radishspindle/routing/EndToEndHeaders.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Selects the headers that pass from one connection to the next. Stateless and thread-safe. */
-final class HopHeaders {
-    /** Headers of one connection (RFC 9110, section 7.6.1), and those that the HTTP libraries write themselves. */
+/** Selects the end-to-end headers, which are passed on to the next connection. Stateless and thread-safe. */
+final class EndToEndHeaders {
+    /** Hop-by-hop headers (RFC 9110, section 7.6.1), and headers that the HTTP libraries write themselves. */
     private static final Set<String> PER_CONNECTION = Set.of(
             "connection",
             "keep-alive",
@@ -26,7 +26,7 @@
     /** Signals of executors to the entry VMs. */
     private static final Set<String> EXECUTOR_SIGNALS = Set.of("not-run", "leaving");
 
-    private HopHeaders() {}
+    private EndToEndHeaders() {}
 
     static List<Map.Entry<String, String>> ofRequest(MultiMap headers) {
         return select(headers, Set.of("deadline-ms"));
@@ -48,7 +48,7 @@
         return kept;
     }
 
-    /** Names of further headers that belong to this connection only. */
+    /** Names of further hop-by-hop headers, as listed in the header Connection. */
     private static List<String> connectionOptions(MultiMap headers) {
         List<String> options = new ArrayList<>();
         for (String value : headers.getAll("Connection")) {
--- a/library/src/main/java/io/radishspindle/routing/EndpointState.java
+++ b/library/src/main/java/io/radishspindle/routing/EndpointState.java
@@ -5,43 +5,49 @@
 import java.util.Optional;
 
 /**
- * What this VM knows of an executor of its data centre. Belongs to one {@link RoutingCore}; not thread-safe.
+ * State of an executor of this VM's data centre, from the view, probes and answers. Belongs to one {@link RoutingCore};
+ * not thread-safe.
  *
  * <p>Invariant: new work is possible only while the view and the probes find the endpoint live.
  */
 final class EndpointState {
-    /** Longest time between probes; a longer setting would make {@link #MAX_PROBE_AGE_MS} lapse between them. */
+    /**
+     * Longest time between probes, in milliseconds; with a longer one {@link #MAX_PROBE_AGE_MS} would pass between
+     * them.
+     */
     static final long MAX_PROBE_INTERVAL_MS = 1_000;
     /**
-     * An endpoint gets new work only if it answered "live" to a probe that was sent at most this long ago. A leaving
-     * endpoint therefore gets no new work after this time, even from a VM that was paused or lost probes. Two missed
-     * probes in a row exceed it.
+     * An endpoint gets new work only if it answered "live" to a probe sent at most this many milliseconds ago. A
+     * leaving endpoint therefore gets no new work after this time, even from a VM that was paused or lost probes. Two
+     * missed probes in a row exceed it.
      */
     static final long MAX_PROBE_AGE_MS = 2_500;
-    /** Probes sent after the last sign of leaving that must find the endpoint live before it gets work again. */
+    /** Live probes, sent after the last "leaving" signal, that an endpoint needs before it gets work again. */
     private static final int LIVE_PROBES_TO_RETURN = 2;
 
     Endpoint endpoint;
     int assignedSlots;
     int connectionShare;
     int inUse;
-    int rampSlots = Integer.MAX_VALUE;
+    /** Limit of used slots during the slow start after an ejection; no limit otherwise. */
+    int slowStartSlots = Integer.MAX_VALUE;
+
     int consecutiveFailures;
     int ejections;
     long ejectedUntilMs = Long.MIN_VALUE;
     long busyUntilMs = Long.MIN_VALUE;
     boolean probing;
     boolean listed = true;
-    /** Moving average of the answer time as a multiple of the usual time of the caller's requests. */
+    /** Moving average of response times, each divided by the average response time of the caller's requests. */
     double slowness;
 
     int latencySamples;
     String lastErrorCaller = "";
     private long nextProbeAtMs = Long.MIN_VALUE;
     private boolean leaving;
-    private long verifiedAtMs;
-    private boolean verified;
-    private long leavingSinceMs;
+    private long liveProbeSentAtMs;
+    private boolean hasLiveProbe;
+    private long leavingSignalAtMs;
     private int liveProbes;
 
     EndpointState(Endpoint endpoint) {
@@ -56,24 +62,24 @@
         return leaving;
     }
 
-    void sawLeaving(long nowMs) {
+    void onLeavingSignal(long nowMs) {
         leaving = true;
-        leavingSinceMs = nowMs;
+        leavingSignalAtMs = nowMs;
         liveProbes = 0;
     }
 
-    /** Takes a live answer; one to an older probe must not undo a newer sign of leaving. */
-    void sawLiveProbe(long sentAtMs) {
-        if (leaving && sentAtMs > leavingSinceMs) {
+    /** Handles a live probe; one sent before the last "leaving" signal must not cancel that signal. */
+    void onLiveProbe(long sentAtMs) {
+        if (leaving && sentAtMs > leavingSignalAtMs) {
             liveProbes++;
             leaving = liveProbes < LIVE_PROBES_TO_RETURN;
         }
-        verified = true;
-        verifiedAtMs = sentAtMs;
+        hasLiveProbe = true;
+        liveProbeSentAtMs = sentAtMs;
     }
 
     boolean isUsable(long nowMs) {
-        boolean fresh = verified && nowMs - verifiedAtMs <= MAX_PROBE_AGE_MS;
+        boolean fresh = hasLiveProbe && nowMs - liveProbeSentAtMs <= MAX_PROBE_AGE_MS;
         return listed && fresh && !leaving && endpoint.liveness() == Liveness.LIVE;
     }
 
@@ -81,7 +87,7 @@
         return nowMs < ejectedUntilMs;
     }
 
-    /** The probe that is due, if any; at most one is open. */
+    /** The probe that is due, if any; at most one is in flight. */
     Optional<RoutingAction> nextProbe(long nowMs, long intervalMs) {
         if (probing || !listed || assignedSlots == 0 || nowMs < nextProbeAtMs) {
             return Optional.empty();
@@ -96,7 +102,7 @@
         if (!isUsable(nowMs) || isEjected(nowMs)) {
             return 0;
         }
-        return Math.min(Math.min(assignedSlots, connectionShare), rampSlots);
+        return Math.min(Math.min(assignedSlots, connectionShare), slowStartSlots);
     }
 
     int freeSlots(long nowMs) {
--- a/library/src/main/java/io/radishspindle/routing/ForwardMessages.java
+++ b/library/src/main/java/io/radishspindle/routing/ForwardMessages.java
@@ -36,7 +36,7 @@
     static ForwardResponse response(ServiceResponse response) {
         return new ForwardResponse(
                 response.status(),
-                flatten(HopHeaders.ofResponse(response.headers())),
+                flatten(EndToEndHeaders.ofResponse(response.headers())),
                 response.body().getBytes());
     }
 
--- a/library/src/main/java/io/radishspindle/routing/KeyedResponder.java
+++ b/library/src/main/java/io/radishspindle/routing/KeyedResponder.java
@@ -35,11 +35,12 @@
     public Future<Void> answer(ServiceResponse response) {
         Future<Void> written = target.answer(response);
         keyed.complete(
-                claim, new StoredAnswer(response.status(), HopHeaders.ofResponse(response.headers()), response.body()));
+                claim,
+                new StoredAnswer(response.status(), EndToEndHeaders.ofResponse(response.headers()), response.body()));
         return written;
     }
 
-    /** A caller that is told "not run" may repeat at once, so the intent is removed before it is told. */
+    /** A caller that receives "not run" may repeat at once, so the intent is removed before the failure is written. */
     @Override
     public Future<Void> fail(Failure failure) {
         if (failure.notRun()) {
@@ -49,7 +50,7 @@
     }
 
     /** Answers a request whose key is already recorded. */
-    static void repeat(BeginResult result, Responder target) {
+    static void answerRepeat(BeginResult result, Responder target) {
         if (result instanceof BeginResult.Finished finished) {
             Optional<StoredAnswer> answer = finished.answer();
             if (answer.isPresent()) {
--- a/library/src/main/java/io/radishspindle/routing/OutcomeObserver.java
+++ b/library/src/main/java/io/radishspindle/routing/OutcomeObserver.java
@@ -1,10 +1,10 @@
 package io.radishspindle.routing;
 
-/** Learns from the outcomes of attempts how executors and callers behave. Not thread-safe. */
+/** Updates the state of executors and the costs of callers from the outcomes of attempts. Not thread-safe. */
 final class OutcomeObserver {
     /** How long an executor that answered "busy" gets no new work from this VM, in milliseconds. */
     static final long BUSY_PAUSE_MS = 20;
-    /** A timeout shorter than this many usual request times is no sign of a bad executor. */
+    /** A request that timed out counts against its executor only after this many average request times. */
     private static final double TIMEOUT_FACTOR = 3;
 
     private static final int FIRST_SERVER_ERROR = 500;
@@ -19,33 +19,33 @@
 
     void observe(ServiceState service, Request request, EndpointState executor, AttemptOutcome outcome, long nowMs) {
         if (outcome instanceof AttemptOutcome.Answered answered) {
-            answered(service, request, executor, answered, nowMs);
+            onAnswered(service, request, executor, answered, nowMs);
         } else if (outcome instanceof AttemptOutcome.Busy busy) {
             stats.busy.increment();
-            signal(executor, busy.leaving(), nowMs);
+            onLeavingFlag(executor, busy.leaving(), nowMs);
             executor.busyUntilMs = nowMs + BUSY_PAUSE_MS;
         } else if (outcome instanceof AttemptOutcome.Failed failed && !failed.isCallersFault()) {
-            failed(service, request, executor, failed, nowMs);
+            onFailed(service, request, executor, failed, nowMs);
         }
     }
 
-    /** Notes that a probe found the executor leaving. */
-    void probedLeaving(EndpointState executor, long sentAtMs, long nowMs) {
+    /** Handles a probe that found the executor leaving. */
+    void onLeavingProbe(EndpointState executor, long sentAtMs, long nowMs) {
         if (options.has(Safeguard.LEAVING_SIGNALS)) {
-            executor.sawLeaving(nowMs);
+            executor.onLeavingSignal(nowMs);
         } else {
-            executor.sawLiveProbe(sentAtMs);
+            executor.onLiveProbe(sentAtMs);
         }
     }
 
-    /** Notes that an executor asks for no further work. */
-    void signal(EndpointState executor, boolean leaving, long nowMs) {
+    /** Handles the "leaving" flag of an answer. */
+    void onLeavingFlag(EndpointState executor, boolean leaving, long nowMs) {
         if (leaving && options.has(Safeguard.LEAVING_SIGNALS)) {
-            executor.sawLeaving(nowMs);
+            executor.onLeavingSignal(nowMs);
         }
     }
 
-    private void answered(
+    private void onAnswered(
             ServiceState service,
             Request request,
             EndpointState executor,
@@ -54,20 +54,20 @@
         double elapsedMs = nowMs - request.sentAtMs;
         double expectedMs = service.costs.expectedMs(request.caller());
         service.costs.record(request.caller(), elapsedMs);
-        signal(executor, outcome.leaving(), nowMs);
+        onLeavingFlag(executor, outcome.leaving(), nowMs);
         if (outcome.status() >= FIRST_SERVER_ERROR) {
-            service.outliers.answeredWithError(executor, request.caller(), nowMs);
+            service.outliers.onErrorAnswer(executor, request.caller(), nowMs);
         } else {
-            service.outliers.succeeded(executor, elapsedMs, expectedMs, nowMs);
+            service.outliers.onSuccess(executor, elapsedMs, expectedMs, nowMs);
         }
     }
 
-    private void failed(
+    private void onFailed(
             ServiceState service, Request request, EndpointState executor, AttemptOutcome.Failed outcome, long nowMs) {
         boolean timedOut = nowMs >= request.deadlineAtMs();
-        boolean hasty = timedOut && nowMs - request.sentAtMs < TIMEOUT_FACTOR * service.costs.meanMs();
-        if (!hasty) {
-            service.outliers.failed(executor, nowMs);
+        boolean shortTimeout = timedOut && nowMs - request.sentAtMs < TIMEOUT_FACTOR * service.costs.meanMs();
+        if (!shortTimeout) {
+            service.outliers.onFailure(executor, nowMs);
         }
         if (outcome.failure().notRun()) {
             stats.unreachable.increment();
--- a/library/src/main/java/io/radishspindle/routing/OutlierDetector.java
+++ b/library/src/main/java/io/radishspindle/routing/OutlierDetector.java
@@ -3,7 +3,8 @@
 import java.util.Collection;
 
 /**
- * Ejects executors that fail or are slow, and lets them return one slot at a time. Not thread-safe.
+ * Ejects executors that fail or are slow; after an ejection they regain their slots one at a time (slow start). Not
+ * thread-safe.
  *
  * <p>Invariant: at most half of the executors of a service are ejected at once.
  */
@@ -11,14 +12,17 @@
     private static final int MAX_CONSECUTIVE_FAILURES = 5;
     private static final double LATENCY_FACTOR = 3;
     private static final int MIN_LATENCY_SAMPLES = 10;
-    /** Samples that condemn an executor that returns from an ejection; each one costs a caller a slow answer. */
+    /** Samples needed to eject an executor again during slow start; fewer, as each costs a caller a slow answer. */
     private static final int MIN_RETURN_SAMPLES = 3;
 
     private static final int MIN_EXECUTORS_FOR_MEDIAN = 3;
-    /** An answer faster than this never ejects its executor, in milliseconds; hides the noise of short requests. */
+    /** An answer faster than this never ejects its executor, in milliseconds; times of short requests are too noisy. */
     private static final double MIN_SLOW_MS = 20;
 
-    /** Weight of a new sample; run times vary so much that a higher weight would eject executors by chance. */
+    /**
+     * Weight of a new sample in the moving average; with a higher one, executors would be ejected by the random
+     * variation of run times.
+     */
     private static final double GAIN = 0.1;
 
     private static final long FIRST_EJECTION_MS = 1_000;
@@ -35,12 +39,12 @@
     }
 
     /**
-     * Takes a good answer.
+     * Handles a successful answer.
      *
-     * @param expectedMs usual time of the caller's requests; latencies are compared in multiples of it, so that an
+     * @param expectedMs average time of the caller's requests; latencies are compared in multiples of it, so that an
      *     executor that happens to run long requests is not taken for a slow one
      */
-    void succeeded(EndpointState executor, double elapsedMs, double expectedMs, long nowMs) {
+    void onSuccess(EndpointState executor, double elapsedMs, double expectedMs, long nowMs) {
         executor.consecutiveFailures = 0;
         executor.lastErrorCaller = "";
         executor.latencySamples++;
@@ -50,34 +54,34 @@
             eject(executor, nowMs);
             return;
         }
-        if (executor.rampSlots != Integer.MAX_VALUE) {
-            executor.rampSlots++;
-            if (executor.rampSlots > executor.assignedSlots) {
-                executor.rampSlots = Integer.MAX_VALUE;
+        if (executor.slowStartSlots != Integer.MAX_VALUE) {
+            executor.slowStartSlots++;
+            if (executor.slowStartSlots > executor.assignedSlots) {
+                executor.slowStartSlots = Integer.MAX_VALUE;
                 executor.ejections = 0;
             }
         }
     }
 
     /** Counts an error answer, but not twice in a row for one caller, whose requests may be at fault. */
-    void answeredWithError(EndpointState executor, String caller, long nowMs) {
+    void onErrorAnswer(EndpointState executor, String caller, long nowMs) {
         if (caller.equals(executor.lastErrorCaller)) {
             return;
         }
         executor.lastErrorCaller = caller;
-        failed(executor, nowMs);
+        onFailure(executor, nowMs);
     }
 
-    void failed(EndpointState executor, long nowMs) {
+    void onFailure(EndpointState executor, long nowMs) {
         executor.consecutiveFailures++;
-        boolean returning = executor.rampSlots != Integer.MAX_VALUE;
+        boolean returning = executor.slowStartSlots != Integer.MAX_VALUE;
         if (returning || executor.consecutiveFailures >= MAX_CONSECUTIVE_FAILURES) {
             eject(executor, nowMs);
         }
     }
 
     private boolean isSlow(EndpointState executor) {
-        boolean returning = executor.rampSlots != Integer.MAX_VALUE;
+        boolean returning = executor.slowStartSlots != Integer.MAX_VALUE;
         int needed = returning ? MIN_RETURN_SAMPLES : MIN_LATENCY_SAMPLES;
         if (executor.latencySamples < needed) {
             return false;
@@ -98,7 +102,7 @@
         long ejectedMs = Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS << Math.min(executor.ejections, 5));
         executor.ejections++;
         executor.ejectedUntilMs = nowMs + ejectedMs;
-        executor.rampSlots = 1;
+        executor.slowStartSlots = 1;
         executor.consecutiveFailures = 0;
         executor.latencySamples = 0;
         executor.slowness = 0;
--- a/library/src/main/java/io/radishspindle/routing/PeerTable.java
+++ b/library/src/main/java/io/radishspindle/routing/PeerTable.java
@@ -14,11 +14,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Load of one service at the peers, as they reported it, less the requests that were forwarded since. Not thread-
+ * Load of one service at the peers: their last reports, corrected by the requests forwarded since. Not thread-
  * safe.
  */
 final class PeerTable {
-    /** How much longer the local queue must be than a peer's, so that requests don't move for small differences. */
+    /** Factor by which the local queue must exceed a peer's, so that small differences don't cause forwards. */
     private static final double BACKLOG_FACTOR = 2;
 
     /** Load of one peer. */
@@ -65,19 +65,19 @@
                 Peer peer = peers.computeIfAbsent(vm.id(), Peer::new);
                 peer.dataCentre = vm.dataCentre();
                 peer.slots = slotsOf(vm, endpoints, slots);
-                report(peer, vm.services(), service);
+                applyReport(peer, vm.services(), service);
             }
         }
     }
 
-    void forwarded(String vmId) {
+    void onForwarded(String vmId) {
         Peer peer = peers.get(vmId);
         if (peer != null) {
             peer.sentSinceReport++;
         }
     }
 
-    void refused(String vmId) {
+    void onRefused(String vmId) {
         Peer peer = peers.get(vmId);
         if (peer != null) {
             peer.refusedSinceReport = true;
@@ -89,7 +89,7 @@
     }
 
     /**
-     * Chooses the peer for a request that finds no free slot here.
+     * Chooses the peer for a request that finds no free slot at this VM; null if the request is to wait.
      *
      * @param ownBacklog waiting requests per own slot
      */
@@ -114,7 +114,10 @@
         return peer == null ? null : peer.vmId;
     }
 
-    /** Picks two candidates at random and takes the one with more free slots, so that VMs don't all pick the same. */
+    /**
+     * Power of two choices: the one with more free slots of two random peers, so that VMs don't all choose the same
+     * peer.
+     */
     @Nullable
     private Peer choose(boolean bulk, Predicate<Peer> condition) {
         List<Peer> free = new ArrayList<>();
@@ -132,7 +135,10 @@
         return second.expectedFree() > first.expectedFree() ? second : first;
     }
 
-    /** Slots are not spread evenly, so without this a VM with few slots would have the longest wait. */
+    /**
+     * The peer of this data centre with the shortest queue. Slots are not spread evenly over VMs, so a VM with few
+     * slots would otherwise have the longest wait.
+     */
     @Nullable
     private Peer shorterQueue(double ownBacklog) {
         Peer best = null;
@@ -163,7 +169,7 @@
         return sum;
     }
 
-    private static void report(Peer peer, List<ServiceLoad> loads, String service) {
+    private static void applyReport(Peer peer, List<ServiceLoad> loads, String service) {
         peer.sentSinceReport = 0;
         peer.refusedSinceReport = false;
         peer.freeSlots = 0;
--- a/library/src/main/java/io/radishspindle/routing/Refusals.java
+++ b/library/src/main/java/io/radishspindle/routing/Refusals.java
@@ -6,7 +6,7 @@
 /** Failures that end a request. Stateless and thread-safe. */
 final class Refusals {
     static final String STEP = "routing.request";
-    /** Retry-After when nothing better is known, in milliseconds. */
+    /** Retry-After if no better estimate is available, in milliseconds. */
     static final long DEFAULT_RETRY_MS = 1_000;
 
     private Refusals() {}
@@ -17,20 +17,20 @@
 
     static Failure notReady() {
         return Failure.retryable(
-                ErrorCode.NOT_READY, STEP, "", "this VM does not know the endpoints yet", DEFAULT_RETRY_MS);
+                ErrorCode.NOT_READY, STEP, "", "this VM has not received the list of endpoints yet", DEFAULT_RETRY_MS);
     }
 
     static Failure shuttingDown() {
         return Failure.retryable(ErrorCode.SHUTTING_DOWN, STEP, "", "this VM is shutting down", DEFAULT_RETRY_MS);
     }
 
-    static Failure callerGone() {
+    static Failure callerDisconnected() {
         return Failure.rejected(ErrorCode.INVALID_REQUEST, STEP, "the caller closed its connection");
     }
 
     static Failure noExecutor(String service) {
         return Failure.retryable(
-                ErrorCode.OVERLOADED, STEP, "", "no executor of " + service + " takes work", DEFAULT_RETRY_MS);
+                ErrorCode.OVERLOADED, STEP, "", "no executor of " + service + " accepts requests", DEFAULT_RETRY_MS);
     }
 
     static Failure queueFull(String bound, int limit, long retryAfterMs) {
@@ -40,7 +40,11 @@
 
     static Failure displaced(long retryAfterMs) {
         return Failure.retryable(
-                ErrorCode.OVERLOADED, STEP, "", "the queue was needed for a higher class", retryAfterMs);
+                ErrorCode.OVERLOADED,
+                STEP,
+                "",
+                "displaced from the full queue by a request of a higher class",
+                retryAfterMs);
     }
 
     static Failure waitTooLong(long waitMs, long remainingMs, long retryAfterMs) {
@@ -70,7 +74,7 @@
 
     static Failure attemptsExhausted(Failure last, boolean notRun, long retryAfterMs) {
         ErrorCode code = notRun ? ErrorCode.OVERLOADED : ErrorCode.OUTCOME_UNKNOWN;
-        return new Failure(code, STEP, last.peer(), "given up: " + last.message(), notRun, retryAfterMs);
+        return new Failure(code, STEP, last.peer(), "no attempt left: " + last.message(), notRun, retryAfterMs);
     }
 
     static Failure outcomeUnknown(Failure cause) {
--- a/library/src/main/java/io/radishspindle/routing/Request.java
+++ b/library/src/main/java/io/radishspindle/routing/Request.java
@@ -10,11 +10,11 @@
  * <p>Invariant: {@code mayHaveRun} never goes back to false.
  */
 final class Request {
-    /** Where the request is. */
+    /** State of a request. */
     enum Phase {
         QUEUED,
         RUNNING,
-        /** Answered while its last attempt still holds a slot. */
+        /** The caller has its final answer, but the last attempt is in flight and still holds a slot. */
         ANSWERED
     }
 
@@ -22,10 +22,14 @@
     final Set<String> triedEndpoints = new HashSet<>();
     Phase phase = Phase.QUEUED;
     int attempt;
+    /** Attempts that were sent to executors, and forwards that may have reached one. */
     int sends;
+    /** Forwards that ended without an answer. */
     int forwards;
+    /** An attempt ended without an answer after it may have reached an executor. */
     boolean mayHaveRun;
-    boolean callerGone;
+
+    boolean callerDisconnected;
     long sentAtMs;
 
     @Nullable
--- a/library/src/main/java/io/radishspindle/routing/RequestQueue.java
+++ b/library/src/main/java/io/radishspindle/routing/RequestQueue.java
@@ -14,7 +14,7 @@
  * <p>Invariant: a caller is in the ring of a class exactly while it has a request waiting there.
  */
 final class RequestQueue {
-    /** Bounds the rounds of deficit round robin before an expensive caller gets its turn. */
+    /** Bounds the rounds of deficit round robin that an expensive caller waits for its turn. */
     private static final int MAX_COST_IN_QUANTA = 16;
 
     /** Requests of one caller in one class. */
@@ -28,11 +28,11 @@
         }
     }
 
-    /** Callers of one class; {@code virtualTime} is the work done divided by the weight. */
+    /** Callers of one class; {@code virtualTime} is the slot time it has used, divided by its weight. */
     private static final class ClassQueue {
         final Map<String, CallerQueue> callers = new HashMap<>();
         final ArrayDeque<CallerQueue> ring = new ArrayDeque<>();
-        final DrainRate drainRate = new DrainRate();
+        final DepartureInterval departureInterval = new DepartureInterval();
         double virtualTime;
         int size;
     }
@@ -78,14 +78,14 @@
     void add(Request request, long nowMs) {
         beginBacklog(request, nowMs);
         callerQueue(request).waiting.addLast(request);
-        counted(request, 1);
+        adjustCounts(request, 1);
     }
 
-    /** Puts back a request that did not run, ahead of the caller's others. */
+    /** Requeues a request for a retry, ahead of the caller's others. */
     void addFirst(Request request, long nowMs) {
         beginBacklog(request, nowMs);
         callerQueue(request).waiting.addFirst(request);
-        counted(request, 1);
+        adjustCounts(request, 1);
     }
 
     /** Returns the request whose turn it is, without removing it; stable until the queue changes. */
@@ -110,46 +110,49 @@
     /** Removes the request returned by {@link #next} and charges its caller and class. */
     void take(Request request, long nowMs) {
         ClassQueue queue = queueOf(request.requestClass());
-        CallerQueue callers = queue.callers.get(keyOf(request.caller()));
-        if (callers != null) {
-            double cost = costInQuanta(callers.key);
-            callers.deficit -= cost;
+        CallerQueue callerQueue = queue.callers.get(keyOf(request.caller()));
+        if (callerQueue != null) {
+            double cost = costInQuanta(callerQueue.key);
+            callerQueue.deficit -= cost;
             virtualNow = Math.max(virtualNow, queue.virtualTime);
             queue.virtualTime += cost / weightOf(request.requestClass());
-            if (callers.deficit < costInQuanta(callers.key)) {
-                queue.ring.remove(callers);
-                queue.ring.addLast(callers);
+            if (callerQueue.deficit < costInQuanta(callerQueue.key)) {
+                queue.ring.remove(callerQueue);
+                queue.ring.addLast(callerQueue);
             }
         }
-        queue.drainRate.left(nowMs);
+        queue.departureInterval.onDeparture(nowMs);
         remove(request);
     }
 
-    /** Removes a request without charging anyone. */
+    /** Removes a request without charging its caller or class. */
     void remove(Request request) {
         ClassQueue queue = queueOf(request.requestClass());
-        CallerQueue callers = queue.callers.get(keyOf(request.caller()));
-        if (callers == null || !callers.waiting.remove(request)) {
+        CallerQueue callerQueue = queue.callers.get(keyOf(request.caller()));
+        if (callerQueue == null || !callerQueue.waiting.remove(request)) {
             return;
         }
-        if (callers.waiting.isEmpty()) {
-            queue.callers.remove(callers.key);
-            queue.ring.remove(callers);
+        if (callerQueue.waiting.isEmpty()) {
+            queue.callers.remove(callerQueue.key);
+            queue.ring.remove(callerQueue);
         }
-        counted(request, -1);
+        adjustCounts(request, -1);
     }
 
-    /** Newest request of the caller with most requests in the lowest class below {@code above}. */
+    /**
+     * The request to displace for a new one of class {@code above}: the newest one of the caller with most requests in
+     * the lowest class below; null if there is none.
+     */
     @Nullable
-    Request lowestBelow(RequestClass above) {
+    Request displacementCandidate(RequestClass above) {
         if (!weighted) {
             return null;
         }
         for (int i = RequestClass.values().length - 1; i > above.ordinal(); i--) {
             CallerQueue longest = null;
-            for (CallerQueue callers : queueOf(RequestClass.values()[i]).ring) {
-                if (longest == null || callers.waiting.size() > longest.waiting.size()) {
-                    longest = callers;
+            for (CallerQueue callerQueue : queueOf(RequestClass.values()[i]).ring) {
+                if (longest == null || callerQueue.waiting.size() > longest.waiting.size()) {
+                    longest = callerQueue;
                 }
             }
             if (longest != null) {
@@ -159,10 +162,13 @@
         return null;
     }
 
-    /** Expected wait of a new request of the caller by the pace of its class, in milliseconds; 0 if unknown. */
-    double waitByPaceMs(RequestClass requestClass, String caller) {
+    /**
+     * Expected wait of a new request of the caller by the departure interval of its class, in milliseconds; 0 if
+     * unknown.
+     */
+    double waitByDeparturesMs(RequestClass requestClass, String caller) {
         int before = servedBeforeInClass(requestClass, caller);
-        return queueOf(requestClass).drainRate.timeToLeaveMs(before + 1);
+        return queueOf(requestClass).departureInterval.timeToDepartMs(before + 1);
     }
 
     private int servedBeforeInClass(RequestClass requestClass, String caller) {
@@ -203,27 +209,27 @@
     private void beginBacklog(Request request, long nowMs) {
         ClassQueue queue = queueOf(request.requestClass());
         if (queue.size == 0) {
-            queue.drainRate.begin(nowMs);
+            queue.departureInterval.startBacklog(nowMs);
         }
     }
 
     private CallerQueue callerQueue(Request request) {
         ClassQueue queue = queueOf(request.requestClass());
         if (queue.size == 0) {
-            // An idle class must not save up its share and then hold back the others.
+            // A class must not accumulate a share while idle, or it would starve the others afterwards.
             queue.virtualTime = Math.max(queue.virtualTime, virtualNow);
         }
         String key = keyOf(request.caller());
-        CallerQueue callers = queue.callers.get(key);
-        if (callers == null) {
-            callers = new CallerQueue(key);
-            queue.callers.put(key, callers);
-            queue.ring.addLast(callers);
+        CallerQueue callerQueue = queue.callers.get(key);
+        if (callerQueue == null) {
+            callerQueue = new CallerQueue(key);
+            queue.callers.put(key, callerQueue);
+            queue.ring.addLast(callerQueue);
         }
-        return callers;
+        return callerQueue;
     }
 
-    private void counted(Request request, int change) {
+    private void adjustCounts(Request request, int change) {
         queueOf(request.requestClass()).size += change;
         size += change;
         int left = queuedByCaller.merge(request.caller(), change, Integer::sum);
--- a/library/src/main/java/io/radishspindle/routing/RequestService.java
+++ b/library/src/main/java/io/radishspindle/routing/RequestService.java
@@ -45,14 +45,14 @@
     private final Clock clock;
     private final PeerMessenger peers;
     private final KeyedRequests keyed;
-    private final EntrySettings.Routing limits;
+    private final EntrySettings.Routing routingSettings;
     private final RoutingRuntime runtime;
     private final BodyReader bodies;
     private final AtomicLong requestIds = new AtomicLong();
     /** Requests between their first byte and their final answer. */
     private final AtomicInteger inFlight = new AtomicInteger();
 
-    private final Promise<Void> idle = Promise.promise();
+    private final Promise<Void> drained = Promise.promise();
     private volatile boolean draining;
 
     public RequestService(
@@ -67,17 +67,17 @@
         this.clock = clock;
         this.peers = peers;
         this.keyed = keyed;
-        limits = settings.routing();
+        routingSettings = settings.routing();
         context = vertx.getOrCreateContext();
         RoutingCore core = new RoutingCore(RoutingOptions.of(settings), RandomSource.createLong());
         runtime = new RoutingRuntime(vertx, context, clock, executors, peers, core, metrics);
-        bodies = new BodyReader(vertx, limits.maxBodyBytes());
+        bodies = new BodyReader(vertx, routingSettings.maxBodyBytes());
     }
 
     /** Starts the timers and accepts forwarded requests of peers. */
     public void start() {
         context.runOnContext(v -> runtime.start());
-        peers.handle(ForwardRequest.class, this::forwarded);
+        peers.handle(ForwardRequest.class, this::onForwardRequest);
     }
 
     /** Stops the timers; requests in flight are lost unless {@link #drain} has completed. */
@@ -85,12 +85,12 @@
         context.runOnContext(v -> runtime.close());
     }
 
-    /** Takes over a new view of entry VMs and endpoints. */
+    /** Applies a new view of entry VMs and endpoints. */
     public void update(MembershipView view) {
         context.runOnContext(v -> runtime.update(view));
     }
 
-    /** Takes over limits from the fleet configuration. */
+    /** Applies limits from the fleet configuration. */
     public void update(ServiceLimitsTable limits) {
         context.runOnContext(v -> runtime.update(limits));
     }
@@ -113,7 +113,7 @@
             runtime.drain();
             completeDrain();
         });
-        return idle.future();
+        return drained.future();
     }
 
     /** Handler for {@code ANY /services/:service/*}; no body handler may run before it. */
@@ -129,12 +129,12 @@
             return;
         }
         String service = Optional.ofNullable(routing.pathParam("service")).orElse("");
-        Either<Failure, CallerRequest> head = CallerRequest.parse(request, service, limits, clock.nowMs());
+        Either<Failure, CallerRequest> head = CallerRequest.parse(request, service, routingSettings, clock.nowMs());
         if (head.isLeft()) {
             responder.fail(head.getLeft());
             return;
         }
-        Tracked tracked = new Tracked(responder);
+        TrackedResponder tracked = new TrackedResponder(responder);
         if ("100-continue".equalsIgnoreCase(request.getHeader("Expect"))) {
             request.response().writeContinue();
         }
@@ -148,7 +148,7 @@
         });
     }
 
-    private void admit(HttpServerRequest request, CallerRequest head, Buffer body, Tracked tracked) {
+    private void admit(HttpServerRequest request, CallerRequest head, Buffer body, TrackedResponder tracked) {
         RequestArrived arrival = new RequestArrived(
                 requestIds.incrementAndGet(),
                 head.service(),
@@ -160,18 +160,19 @@
                 body.length(),
                 0);
         ServiceRequest serviceRequest = new ServiceRequest(head.method(), head.path(), head.headers(), body);
-        request.response().closeHandler(v -> context.runOnContext(c -> runtime.callerGone(arrival.requestId())));
+        request.response()
+                .closeHandler(v -> context.runOnContext(c -> runtime.callerDisconnected(arrival.requestId())));
         context.runOnContext(v -> {
             if (head.idempotencyKey().isEmpty()) {
                 runtime.submit(arrival, serviceRequest, tracked);
             } else {
-                record(arrival, serviceRequest, head.idempotencyKey().get(), tracked);
+                recordKey(arrival, serviceRequest, head.idempotencyKey().get(), tracked);
             }
         });
     }
 
-    private void record(RequestArrived arrival, ServiceRequest request, String key, Tracked tracked) {
-        Optional<Failure> refusal = runtime.wouldRefuse(arrival);
+    private void recordKey(RequestArrived arrival, ServiceRequest request, String key, TrackedResponder tracked) {
+        Optional<Failure> refusal = runtime.checkAdmission(arrival);
         if (refusal.isPresent()) {
             tracked.fail(refusal.get());
             return;
@@ -184,18 +185,19 @@
                     } else if (result.result().isLeft()) {
                         tracked.fail(result.result().getLeft());
                     } else {
-                        recorded(arrival, request, result.result().get(), tracked);
+                        onKeyRecorded(arrival, request, result.result().get(), tracked);
                     }
                 }));
     }
 
-    private void recorded(RequestArrived arrival, ServiceRequest request, BeginResult result, Tracked tracked) {
-        if (result instanceof BeginResult.Granted granted && tracked.isGone()) {
-            new KeyedResponder(keyed, granted.claim(), tracked).fail(Refusals.callerGone());
+    private void onKeyRecorded(
+            RequestArrived arrival, ServiceRequest request, BeginResult result, TrackedResponder tracked) {
+        if (result instanceof BeginResult.Granted granted && tracked.isDisconnected()) {
+            new KeyedResponder(keyed, granted.claim(), tracked).fail(Refusals.callerDisconnected());
         } else if (result instanceof BeginResult.Granted granted) {
             runtime.submit(arrival, request, new KeyedResponder(keyed, granted.claim(), tracked));
         } else {
-            KeyedResponder.repeat(result, tracked);
+            KeyedResponder.answerRepeat(result, tracked);
         }
     }
 
@@ -208,7 +210,7 @@
                 .getAsLong();
     }
 
-    private Future<Either<Failure, PeerMessage>> forwarded(String fromVm, ForwardRequest message) {
+    private Future<Either<Failure, PeerMessage>> onForwardRequest(String fromVm, ForwardRequest message) {
         if (draining) {
             return Future.succeededFuture(Either.left(Refusals.shuttingDown()));
         }
@@ -226,27 +228,27 @@
                 requestClass.get(),
                 CallerRequest.isIdempotent(message.method()),
                 nowMs,
-                nowMs + Math.min(message.remainingMs(), limits.maxDeadlineMs()),
+                nowMs + Math.min(message.remainingMs(), routingSettings.maxDeadlineMs()),
                 message.body().length,
                 message.hops());
         PeerResponder responder = new PeerResponder();
         ServiceRequest request = ForwardMessages.toRequest(message);
-        Tracked tracked = new Tracked(responder);
+        TrackedResponder tracked = new TrackedResponder(responder);
         context.runOnContext(v -> runtime.submit(arrival, request, tracked));
         return responder.answer();
     }
 
     private void completeDrain() {
-        if (draining && inFlight.get() == 0 && idle.tryComplete()) {
+        if (draining && inFlight.get() == 0 && drained.tryComplete()) {
             Logger.info("event=routing-drain-finished");
         }
     }
 
-    /** Counts a request as in flight until its answer is written, so that a drain cuts off no answer. */
-    private final class Tracked implements Responder {
+    /** Counts a request as in flight until its answer is written, so that a drain doesn't end before it. */
+    private final class TrackedResponder implements Responder {
         private final Responder target;
 
-        Tracked(Responder target) {
+        TrackedResponder(Responder target) {
             this.target = target;
             inFlight.incrementAndGet();
         }
@@ -262,8 +264,8 @@
         }
 
         @Override
-        public boolean isGone() {
-            return target.isGone();
+        public boolean isDisconnected() {
+            return target.isDisconnected();
         }
 
         private void done() {
--- a/library/src/main/java/io/radishspindle/routing/Responder.java
+++ b/library/src/main/java/io/radishspindle/routing/Responder.java
@@ -4,7 +4,10 @@
 import io.radishspindle.platform.ExecutorClient.ServiceResponse;
 import io.vertx.core.Future;
 
-/** Where the final answer of a request goes. Each request is answered once. */
+/**
+ * Receives the final answer of a request and passes it to the caller or peer that waits for it. Each request is
+ * answered once.
+ */
 interface Responder {
     /** The future never fails; it completes when the answer is written or its recipient is gone. */
     Future<Void> answer(ServiceResponse response);
@@ -12,8 +15,8 @@
     /** The future never fails; it completes when the failure is written or its recipient is gone. */
     Future<Void> fail(Failure failure);
 
-    /** True if nobody waits for the answer any more. */
-    default boolean isGone() {
+    /** True if the recipient has closed its connection. */
+    default boolean isDisconnected() {
         return false;
     }
 }
--- a/library/src/main/java/io/radishspindle/routing/RetryBudget.java
+++ b/library/src/main/java/io/radishspindle/routing/RetryBudget.java
@@ -2,7 +2,7 @@
 
 /** Limits the retries of a service to a share of its requests, with a small reserve. Not thread-safe. */
 final class RetryBudget {
-    /** Retries that are possible before any request has paid for them; also the most that can be saved up. */
+    /** Initial and maximum number of tokens; each retry takes one. */
     private static final double RESERVE = 10;
 
     private final boolean limited;
@@ -12,8 +12,12 @@
         limited = options.has(Safeguard.RETRY_BUDGET);
     }
 
-    /** @param share retries as a share of the requests */
-    void requestArrived(double share) {
+    /**
+     * Adds the tokens of one request.
+     *
+     * @param share retries as a share of the requests
+     */
+    void onRequestArrived(double share) {
         tokens = Math.min(RESERVE, tokens + share);
     }
 
--- a/library/src/main/java/io/radishspindle/routing/RoutingCore.java
+++ b/library/src/main/java/io/radishspindle/routing/RoutingCore.java
@@ -49,26 +49,26 @@
         observer = new OutcomeObserver(options, stats);
     }
 
-    /** Handles an event at {@code nowMs} of a monotonic clock and returns what is to be done, in order. */
+    /** Handles an event at {@code nowMs} of a monotonic clock and returns the actions to carry out, in order. */
     public List<RoutingAction> handle(long nowMs, RoutingEvent event) {
         this.nowMs = nowMs;
         actions = new ArrayList<>();
         if (event instanceof RoutingEvent.RequestArrived arrived) {
-            arrived(arrived);
+            onRequestArrived(arrived);
         } else if (event instanceof RoutingEvent.AttemptCompleted completed) {
-            completed(completed);
-        } else if (event instanceof RoutingEvent.CallerGone gone) {
-            callerGone(gone.requestId());
+            onAttemptCompleted(completed);
+        } else if (event instanceof RoutingEvent.CallerDisconnected disconnected) {
+            onCallerDisconnected(disconnected.requestId());
         } else if (event instanceof RoutingEvent.ViewChanged changed) {
-            viewChanged(changed.view());
+            onViewChanged(changed.view());
         } else if (event instanceof RoutingEvent.ProbeCompleted probe) {
-            probed(probe);
+            onProbeCompleted(probe);
         } else if (event instanceof RoutingEvent.LimitsChanged changed) {
             admission.update(changed.limits());
         } else if (event instanceof RoutingEvent.Tick) {
-            tick();
+            onTick();
         } else if (event instanceof RoutingEvent.DrainStarted) {
-            drain();
+            onDrainStarted();
         }
         return actions;
     }
@@ -78,19 +78,25 @@
         return services.loads(nowMs);
     }
 
-    /** Endpoints that this VM itself found leaving; those it heard of are left out, so that reports don't echo. */
+    /**
+     * Endpoints that this VM itself found leaving. Those reported by peers are left out, so that VMs don't repeat each
+     * other's reports for ever.
+     */
     public List<String> leavingEndpoints() {
         return services.leavingEndpoints();
     }
 
-    /** Why a request would be refused now, so that nothing needs to be recorded for it first. */
-    public Optional<Failure> wouldRefuse(long nowMs, RoutingEvent.RequestArrived arrival) {
+    /**
+     * The failure with which a request would be refused now, checked before its idempotency key is recorded; empty if
+     * it would be admitted.
+     */
+    public Optional<Failure> checkAdmission(long nowMs, RoutingEvent.RequestArrived arrival) {
         this.nowMs = nowMs;
         return Optional.ofNullable(refusal(arrival, false));
     }
 
     /** Requests without a final answer. */
-    public int open() {
+    public int unansweredRequests() {
         return (int) requests.values().stream()
                 .filter(r -> r.phase != Phase.ANSWERED)
                 .count();
@@ -100,7 +106,7 @@
         return stats;
     }
 
-    private void arrived(RoutingEvent.RequestArrived arrival) {
+    private void onRequestArrived(RoutingEvent.RequestArrived arrival) {
         Request request = new Request(arrival);
         requests.put(request.id(), request);
         Failure refusal = refusal(arrival, true);
@@ -109,8 +115,8 @@
             return;
         }
         ServiceState service = services.get(arrival.service());
-        service.retryBudget.requestArrived(admission.limitsOf(service).retryBudget());
-        service.reserve.arrived(arrival.requestClass(), nowMs);
+        service.retryBudget.onRequestArrived(admission.limitsOf(service).retryBudget());
+        service.reserve.onArrival(arrival.requestClass(), nowMs);
         service.queue.add(request, nowMs);
         deadlines.add(request);
         dispatch(service);
@@ -132,7 +138,7 @@
         if (decision.displaced() != null && displace) {
             service.queue.remove(decision.displaced());
             long retryMs = admission.retryAfterMs(service, decision.displaced().requestClass(), nowMs);
-            refuse(decision.displaced(), withHistory(decision.displaced(), Refusals.displaced(retryMs)));
+            refuse(decision.displaced(), withNotRunOf(decision.displaced(), Refusals.displaced(retryMs)));
         }
         return decision.refusal();
     }
@@ -143,7 +149,7 @@
             if (request == null) {
                 return;
             }
-            if (options.has(Safeguard.EARLY_REFUSAL) && service.isTooLate(request, nowMs)) {
+            if (options.has(Safeguard.EARLY_REFUSAL) && service.isExpired(request, nowMs)) {
                 service.queue.remove(request);
                 expireQueued(service, request);
                 continue;
@@ -164,7 +170,7 @@
     }
 
     private void send(Request request, EndpointState executor) {
-        start(request);
+        startAttempt(request);
         request.sends++;
         request.executor = executor;
         request.triedEndpoints.add(executor.id());
@@ -176,20 +182,20 @@
     }
 
     private void forward(ServiceState service, Request request, String peer) {
-        start(request);
+        startAttempt(request);
         request.peer = peer;
-        service.peers.forwarded(peer);
+        service.peers.onForwarded(peer);
         stats.forwarded.increment();
         actions.add(new RoutingAction.ForwardToPeer(request.id(), request.attempt, peer, request.deadlineAtMs()));
     }
 
-    private void start(Request request) {
+    private void startAttempt(Request request) {
         request.phase = Phase.RUNNING;
         request.attempt++;
         request.sentAtMs = nowMs;
     }
 
-    private void completed(RoutingEvent.AttemptCompleted event) {
+    private void onAttemptCompleted(RoutingEvent.AttemptCompleted event) {
         Request request = requests.get(event.requestId());
         boolean matches = request != null
                 && request.phase != Phase.QUEUED
@@ -210,12 +216,12 @@
         if (request.phase == Phase.ANSWERED) {
             requests.remove(request.id());
         } else {
-            conclude(service, request, peer, event.outcome());
+            handleOutcome(service, request, peer, event.outcome());
         }
         dispatch(service);
     }
 
-    private void conclude(ServiceState service, Request request, @Nullable String peer, AttemptOutcome outcome) {
+    private void handleOutcome(ServiceState service, Request request, @Nullable String peer, AttemptOutcome outcome) {
         if (outcome instanceof AttemptOutcome.Answered) {
             stats.delivered.increment();
             requests.remove(request.id());
@@ -231,15 +237,15 @@
                 request.sends++;
                 request.forwards++;
             }
-            retryBroken(service, request, failed.failure());
+            retryOutcomeUnknown(service, request, failed.failure());
         }
     }
 
     private void retryNotRun(ServiceState service, Request request, @Nullable String peer, Failure cause) {
-        if (request.callerGone) {
+        if (request.callerDisconnected) {
             abandon(request);
         } else if (peer != null) {
-            service.peers.refused(peer);
+            service.peers.onRefused(peer);
             request.forwards++;
             requeue(service, request);
         } else if (mayRetry(service, request)) {
@@ -253,10 +259,13 @@
         }
     }
 
-    /** A forwarded request is repeated by the VM that has the caller, or the attempts of both would multiply. */
-    private void retryBroken(ServiceState service, Request request, Failure cause) {
+    /**
+     * Retries an attempt that may have run. A forwarded request is retried only by the VM that accepted it from the
+     * caller, or the retries of both VMs would multiply.
+     */
+    private void retryOutcomeUnknown(ServiceState service, Request request, Failure cause) {
         boolean safe = request.arrival.idempotent() || !options.has(Safeguard.SAFE_RETRY);
-        if (request.callerGone) {
+        if (request.callerDisconnected) {
             abandon(request);
         } else if (safe
                 && request.arrival.hops() == 0
@@ -272,7 +281,8 @@
 
     private boolean mayRetry(ServiceState service, Request request) {
         if (request.arrival.acceptedAtMs() < drainAtMs && drainAtMs <= nowMs && isNotRun(request)) {
-            // Peers use the slots of a draining VM already, so "busy" must not end its last requests.
+            // Peers already use the slots of a draining VM, so its executors may be busy; that must not end its
+            // requests.
             return true;
         }
         return request.sends < options.settings().maxAttempts() && service.retryBudget.tryRetry();
@@ -288,12 +298,12 @@
         service.queue.addFirst(request, nowMs);
     }
 
-    private void callerGone(long requestId) {
+    private void onCallerDisconnected(long requestId) {
         Request request = requests.get(requestId);
-        if (request == null || !options.has(Safeguard.CALLER_GONE)) {
+        if (request == null || !options.has(Safeguard.CALLER_DISCONNECT)) {
             return;
         }
-        request.callerGone = true;
+        request.callerDisconnected = true;
         if (request.phase == Phase.QUEUED) {
             ServiceState service = services.get(request.arrival.service());
             service.queue.remove(request);
@@ -301,13 +311,13 @@
         }
     }
 
-    private void viewChanged(MembershipView view) {
+    private void onViewChanged(MembershipView view) {
         ready = true;
         services.update(view);
         services.all().forEach(this::dispatch);
     }
 
-    private void probed(RoutingEvent.ProbeCompleted probe) {
+    private void onProbeCompleted(RoutingEvent.ProbeCompleted probe) {
         for (ServiceState service : services.all()) {
             EndpointState executor = service.executor(probe.endpointId());
             if (executor == null) {
@@ -315,15 +325,15 @@
             }
             executor.probing = false;
             switch (probe.result()) {
-                case LIVE -> executor.sawLiveProbe(probe.sentAtMs());
-                case LEAVING -> observer.probedLeaving(executor, probe.sentAtMs(), nowMs);
+                case LIVE -> executor.onLiveProbe(probe.sentAtMs());
+                case LEAVING -> observer.onLeavingProbe(executor, probe.sentAtMs(), nowMs);
                 case MISSED -> stats.missedProbes.increment();
             }
             dispatch(service);
         }
     }
 
-    private void tick() {
+    private void onTick() {
         expire();
         for (ServiceState service : services.all()) {
             for (EndpointState executor : service.executors()) {
@@ -354,7 +364,7 @@
         refuse(request, Refusals.deadlineInQueue(isNotRun(request), retryMs));
     }
 
-    private void drain() {
+    private void onDrainStarted() {
         drainAtMs = nowMs;
         if (options.has(Safeguard.DRAIN_WAIT)) {
             return;
@@ -362,12 +372,15 @@
         for (Request request : List.copyOf(requests.values())) {
             services.get(request.arrival.service()).queue.remove(request);
             if (request.phase != Phase.ANSWERED) {
-                refuse(request, withHistory(request, Refusals.shuttingDown()));
+                refuse(request, withNotRunOf(request, Refusals.shuttingDown()));
             }
         }
     }
 
-    /** Ends the request; while an attempt is open it is kept, because the attempt holds a slot. */
+    /**
+     * Ends the request with a failure. While an attempt is in flight the request is kept, because the attempt holds a
+     * slot.
+     */
     private void refuse(Request request, Failure failure) {
         stats.refused(failure.notRun());
         actions.add(new RoutingAction.Refuse(request.id(), failure));
@@ -388,7 +401,7 @@
         return !request.mayHaveRun || !options.has(Safeguard.NOT_RUN_TRACKING);
     }
 
-    private Failure withHistory(Request request, Failure failure) {
+    private Failure withNotRunOf(Request request, Failure failure) {
         boolean notRun = isNotRun(request) && (request.executor == null && request.peer == null);
         return new Failure(
                 failure.code(), failure.step(), failure.peer(), failure.message(), notRun, failure.retryAfterMs());
--- a/library/src/main/java/io/radishspindle/routing/RoutingEvent.java
+++ b/library/src/main/java/io/radishspindle/routing/RoutingEvent.java
@@ -30,9 +30,9 @@
     record AttemptCompleted(long requestId, int attempt, AttemptOutcome outcome) implements RoutingEvent {}
 
     /** The caller closed its connection. */
-    record CallerGone(long requestId) implements RoutingEvent {}
+    record CallerDisconnected(long requestId) implements RoutingEvent {}
 
-    /** What a probe found. */
+    /** State of an endpoint as a probe found it; missed if the probe got no answer. */
     enum ProbeResult {
         LIVE,
         LEAVING,
@@ -45,7 +45,7 @@
     /** The fleet configuration changed the limits of services. */
     record LimitsChanged(ServiceLimitsTable limits) implements RoutingEvent {}
 
-    /** Time has passed; sent every {@link RoutingOptions#TICK_MS}. */
+    /** Advances time; sent every {@link RoutingOptions#TICK_MS}. */
     record Tick() implements RoutingEvent {}
 
     /** New requests are refused from now on. */
--- a/library/src/main/java/io/radishspindle/routing/RoutingRuntime.java
+++ b/library/src/main/java/io/radishspindle/routing/RoutingRuntime.java
@@ -27,7 +27,7 @@
 import org.tinylog.Logger;
 
 /**
- * Feeds a {@link RoutingCore} and carries out its actions. All methods but {@link #loads} and {@link
+ * Passes events to a {@link RoutingCore} and carries out its actions. All methods but {@link #loads} and {@link
  * #leavingEndpoints} must run on the given context.
  *
  * <p>Invariant: {@code pending} holds exactly the requests without a final answer.
@@ -116,9 +116,9 @@
         feed(new RoutingEvent.LimitsChanged(limits));
     }
 
-    /** Why the request would be refused now; saves the record of its key. */
-    Optional<Failure> wouldRefuse(RequestArrived arrival) {
-        return core.wouldRefuse(clock.nowMs(), arrival);
+    /** The failure with which the request would be refused now, checked before its idempotency key is recorded. */
+    Optional<Failure> checkAdmission(RequestArrived arrival) {
+        return core.checkAdmission(clock.nowMs(), arrival);
     }
 
     void submit(RequestArrived arrival, ServiceRequest request, Responder responder) {
@@ -131,9 +131,9 @@
         feed(arrival);
     }
 
-    void callerGone(long requestId) {
+    void callerDisconnected(long requestId) {
         if (pending.containsKey(requestId)) {
-            feed(new RoutingEvent.CallerGone(requestId));
+            feed(new RoutingEvent.CallerDisconnected(requestId));
         }
     }
 
@@ -224,8 +224,8 @@
         recordWait(request);
         executors
                 .send(action.host(), action.port(), request.request, timeoutMs(action.deadlineAtMs()))
-                .onComplete(result -> context.runOnContext(
-                        v -> completed(action.requestId(), action.attempt(), unwrap("executor.send", result))));
+                .onComplete(result -> context.runOnContext(v ->
+                        onAttemptCompleted(action.requestId(), action.attempt(), unwrap("executor.send", result))));
     }
 
     private void forward(RoutingAction.ForwardToPeer action) {
@@ -237,13 +237,13 @@
         long timeoutMs = timeoutMs(action.deadlineAtMs());
         ForwardRequest message = ForwardMessages.request(request.arrival, request.request, timeoutMs);
         peers.request(action.vmId(), message, ForwardResponse.class, timeoutMs)
-                .onComplete(result -> context.runOnContext(v -> completed(
+                .onComplete(result -> context.runOnContext(v -> onAttemptCompleted(
                         action.requestId(),
                         action.attempt(),
                         unwrap("peer.forward", result).map(ForwardMessages::toResponse))));
     }
 
-    private void completed(long requestId, int attempt, Either<Failure, ServiceResponse> result) {
+    private void onAttemptCompleted(long requestId, int attempt, Either<Failure, ServiceResponse> result) {
         Pending request = pending.get(requestId);
         if (request != null && request.attempt == attempt && result.isRight()) {
             request.response = result.get();
@@ -283,7 +283,7 @@
     private void abandon(RoutingAction.Abandon action) {
         Failure failure = action.mayHaveRun()
                 ? Failure.unknown(Refusals.STEP, "", "the caller closed its connection")
-                : Refusals.callerGone();
+                : Refusals.callerDisconnected();
         refuse(action.requestId(), failure);
     }
 
@@ -315,7 +315,10 @@
         return Math.max(1, deadlineAtMs - clock.nowMs());
     }
 
-    /** The interfaces promise futures that never fail; one that does must not leave a slot taken for ever. */
+    /**
+     * The futures should never fail; one that does must still complete its attempt, or the slot would stay in use for
+     * ever.
+     */
     private static <T> Either<Failure, T> unwrap(String step, AsyncResult<Either<Failure, T>> result) {
         return result.succeeded()
                 ? result.result()
--- a/library/src/main/java/io/radishspindle/routing/Safeguard.java
+++ b/library/src/main/java/io/radishspindle/routing/Safeguard.java
@@ -11,26 +11,26 @@
     SAFE_RETRY,
     /** Claims "not run" only if no attempt can have run. */
     NOT_RUN_TRACKING,
-    /** Takes an answer only from the attempt that is waited for. */
+    /** Accepts an answer only from the current attempt of a request. */
     ATTEMPT_MATCHING,
-    /** Acts on "leaving" in probes and answers; off, only the VM list counts. */
+    /** Acts on "leaving" in probes and answers; off, only the VM list is used. */
     LEAVING_SIGNALS,
     /** Finishes queued requests during a drain; off, they are refused. */
     DRAIN_WAIT,
-    /** Weights between classes; off, one queue. */
+    /** Shares slots between classes by weight; off, all classes share one queue. */
     CLASS_WEIGHTS,
     /** Keeps some slots free of bulk requests while higher classes are active. */
     RESERVED_SLOTS,
-    /** Deficit round robin between callers; off, first-come first-served. */
+    /** Shares slots between callers by deficit round robin; off, requests are served first come, first served. */
     CALLER_FAIRNESS,
     /** Limits retries to a share of the requests. */
     RETRY_BUDGET,
-    /** Takes failing and slow executors out for a while. */
+    /** Ejects failing and slow executors for a limited time. */
     OUTLIER_EJECTION,
     /** Forwards a request at most once. */
     HOP_LIMIT,
     /** Refuses requests that can't be served before their deadline. */
     EARLY_REFUSAL,
-    /** Drops queued requests of callers that are gone. */
-    CALLER_GONE
+    /** Drops queued requests of callers that closed their connections. */
+    CALLER_DISCONNECT
 }
--- a/library/src/main/java/io/radishspindle/routing/ServiceState.java
+++ b/library/src/main/java/io/radishspindle/routing/ServiceState.java
@@ -12,8 +12,8 @@
 
 /** Executors, peers and queue of one service. Belongs to one {@link RoutingCore}; not thread-safe. */
 final class ServiceState {
-    /** How long requests may wait for any usable executor before new ones are refused, in milliseconds. */
-    private static final long NOTHING_USABLE_MS = 2_000;
+    /** How long a service may have no usable slot before new requests are refused, in milliseconds. */
+    private static final long NO_CAPACITY_GRACE_MS = 2_000;
 
     final String name;
     final CallerCosts costs = new CallerCosts();
@@ -26,7 +26,7 @@
     private final UniformRandomProvider random;
     private final Map<String, EndpointState> executors = new TreeMap<>();
     private boolean known;
-    private long usableAtMs = Long.MIN_VALUE;
+    private long lastUsableAtMs = Long.MIN_VALUE;
 
     ServiceState(String name, RoutingOptions options, UniformRandomProvider random, RoutingStats stats) {
         this.name = name;
@@ -39,7 +39,7 @@
         reserve = new SlotReserve(options);
     }
 
-    /** Takes over a view; {@code endpoints} are those of this service in all data centres. */
+    /** Applies a view; {@code endpoints} are those of this service in all data centres. */
     void update(MembershipView view, List<Endpoint> endpoints, SlotTable slots) {
         known = !endpoints.isEmpty();
         executors.values().forEach(e -> e.listed = false);
@@ -86,12 +86,12 @@
         return sum;
     }
 
-    /** True if neither this VM nor a peer has had a slot for a while. */
+    /** True if neither this VM nor a peer has had a slot for {@link #NO_CAPACITY_GRACE_MS}. */
     boolean isUnusable(long nowMs) {
-        if (usableAtMs == Long.MIN_VALUE || capacity(nowMs) > 0 || peers.hasSlots()) {
-            usableAtMs = nowMs;
+        if (lastUsableAtMs == Long.MIN_VALUE || capacity(nowMs) > 0 || peers.hasSlots()) {
+            lastUsableAtMs = nowMs;
         }
-        return nowMs - usableAtMs > NOTHING_USABLE_MS;
+        return nowMs - lastUsableAtMs > NO_CAPACITY_GRACE_MS;
     }
 
     ServiceLoad load(long nowMs) {
@@ -102,10 +102,10 @@
         return new ServiceLoad(name, free, queue.size());
     }
 
-    /** The usable executor with the lowest share of used slots, one that the request has not tried if possible. */
+    /** The usable executor with the lowest share of used slots; executors that the request has tried come last. */
     @Nullable
     EndpointState pick(Request request, long nowMs) {
-        if (reserve.holdsBack(request, queue, load(nowMs).freeSlots(), capacity(nowMs), nowMs)) {
+        if (reserve.isDeferred(request, queue, load(nowMs).freeSlots(), capacity(nowMs), nowMs)) {
             return null;
         }
         List<EndpointState> best = new ArrayList<>();
@@ -149,21 +149,23 @@
             return 0;
         }
         double bySlotsMs = (queue.servedBefore(requestClass, caller) + 1) * costs.meanMs() / slots;
-        return Math.max(bySlotsMs, queue.waitByPaceMs(requestClass, caller));
+        return Math.max(bySlotsMs, queue.waitByDeparturesMs(requestClass, caller));
     }
 
     /** True if a request that has waited is unlikely to be answered in time, so that its slot would be wasted. */
-    boolean isTooLate(Request request, long nowMs) {
+    boolean isExpired(Request request, long nowMs) {
         boolean waited = nowMs > request.arrival.acceptedAtMs() + RoutingOptions.TICK_MS;
         return waited && nowMs + leastRunMs(request.caller()) > request.deadlineAtMs();
     }
 
-    /** Time that a caller's request will at least run; half of the usual, since run times differ. */
+    /**
+     * Lower estimate of the run time of a caller's request, in milliseconds: half of the average, as run times vary.
+     */
     double leastRunMs(String caller) {
         return costs.expectedMs(caller) / 2;
     }
 
-    /** Time in which the slots of this VM serve so many requests, in milliseconds. */
+    /** Time in which the slots of this VM serve {@code requests} requests, in milliseconds. */
     double timeToServeMs(int requests, long nowMs) {
         return requests * costs.meanMs() / Math.max(1, capacity(nowMs));
     }
--- a/library/src/main/java/io/radishspindle/routing/ServiceTable.java
+++ b/library/src/main/java/io/radishspindle/routing/ServiceTable.java
@@ -35,7 +35,7 @@
         return services.get(name);
     }
 
-    /** The service, which must be one that a view has named. */
+    /** The service of this name, which a view must have listed before. */
     ServiceState get(String name) {
         ServiceState service = services.get(name);
         if (service == null) {
--- a/library/src/test/java/io/radishspindle/routing/CoreDriver.java
+++ b/library/src/test/java/io/radishspindle/routing/CoreDriver.java
@@ -14,7 +14,7 @@
 import java.util.function.Function;
 import java.util.stream.Stream;
 
-/** Drives one core step by step; probes are answered at once by {@code probes}. */
+/** Drives one core step by step in virtual time; probes are answered at once by {@code probes}. */
 final class CoreDriver {
     final RoutingCore core;
     final List<RoutingAction> actions = new ArrayList<>();
@@ -27,18 +27,18 @@
     }
 
     /** One VM with executors of the given slots. */
-    static CoreDriver alone(RoutingOptions options, int... slots) {
+    static CoreDriver singleVm(RoutingOptions options, int... slots) {
         CoreDriver driver = new CoreDriver(options);
         List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < slots.length; i++) {
-            endpoints.add(Routings.endpoint("e" + i, "dc1", 1, slots[i]));
+            endpoints.add(RoutingTestData.endpoint("e" + i, "dc1", 1, slots[i]));
         }
-        driver.view(List.of(Routings.vm("vm1", "dc1")), endpoints);
+        driver.view(List.of(RoutingTestData.vm("vm1", "dc1")), endpoints);
         return driver;
     }
 
     void view(List<EntryVm> vms, List<Endpoint> endpoints) {
-        feed(new RoutingEvent.ViewChanged(Routings.view(vms.get(0), vms, endpoints)));
+        feed(new RoutingEvent.ViewChanged(RoutingTestData.view(vms.get(0), vms, endpoints)));
         tick();
     }
 
@@ -71,7 +71,7 @@
     long arrive(String caller, RequestClass requestClass, boolean idempotent, long deadlineMs, int bytes, int hops) {
         long id = ++nextId;
         feed(new RoutingEvent.RequestArrived(
-                id, Routings.SERVICE, caller, requestClass, idempotent, nowMs, nowMs + deadlineMs, bytes, hops));
+                id, RoutingTestData.SERVICE, caller, requestClass, idempotent, nowMs, nowMs + deadlineMs, bytes, hops));
         return id;
     }
 
@@ -101,7 +101,7 @@
     }
 
     Stream<SendToExecutor> sends() {
-        return only(SendToExecutor.class);
+        return actionsOf(SendToExecutor.class);
     }
 
     List<Long> sentIds() {
@@ -109,18 +109,18 @@
     }
 
     List<String> forwards() {
-        return only(ForwardToPeer.class).map(ForwardToPeer::vmId).toList();
+        return actionsOf(ForwardToPeer.class).map(ForwardToPeer::vmId).toList();
     }
 
     Failure refusal(long id) {
-        return only(Refuse.class)
+        return actionsOf(Refuse.class)
                 .filter(refuse -> refuse.requestId() == id)
                 .map(Refuse::failure)
                 .findFirst()
                 .orElseThrow(() -> new AssertionError("request " + id + " was not refused"));
     }
 
-    <T extends RoutingAction> Stream<T> only(Class<T> type) {
+    <T extends RoutingAction> Stream<T> actionsOf(Class<T> type) {
         return actions.stream().filter(type::isInstance).map(type::cast);
     }
 }
--- a/library/src/test/java/io/radishspindle/routing/History.java
+++ b/library/src/test/java/io/radishspindle/routing/History.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What callers and executors saw, in the order of time. */
+/** Observations of callers, executors and VMs, in the order of time. */
 final class History {
     /** One observation. */
     sealed interface Event {}
@@ -25,20 +25,20 @@
     /** A caller received an answer. */
     record Answered(long call, String body, long atMs) implements Event {}
 
-    /** A caller was told of a failure. */
+    /** A caller received a failure. */
     record Refused(long call, Failure failure, long atMs) implements Event {}
 
     /** A caller closed its connection. */
-    record Left(long call, long atMs) implements Event {}
+    record Disconnected(long call, long atMs) implements Event {}
 
     /** An endpoint began to leave. */
-    record Leaving(String executor, long atMs) implements Event {}
+    record EndpointLeaving(String executor, long atMs) implements Event {}
 
     /** An entry VM began its drain. */
-    record Draining(String vm, long atMs) implements Event {}
+    record DrainStarted(String vm, long atMs) implements Event {}
 
     /** An entry VM ended its process, after a drain or by a crash. */
-    record Ended(String vm, boolean crashed, long atMs) implements Event {}
+    record VmStopped(String vm, boolean crashed, long atMs) implements Event {}
 
     private final List<Event> events = new ArrayList<>();
 
--- a/library/src/test/java/io/radishspindle/routing/HostileCallersTest.java
+++ b/library/src/test/java/io/radishspindle/routing/HostileCallersTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Callers that are wrong, slow, greedy or gone, over loopback sockets. */
+/** Callers that send invalid, slow or too large requests or disconnect, over loopback sockets. */
 class HostileCallersTest {
     private final AtomicInteger received = new AtomicInteger();
     private final List<HttpServerRequest> held = new CopyOnWriteArrayList<>();
@@ -46,7 +46,7 @@
         "layout, Caller, ' ', 400",
         "bindery, Caller, shop, 404"
     })
-    void should_explain_bad_request(String service, String header, String value, int status) {
+    void should_explain_invalid_request(String service, String header, String value, int status) {
         try (RoutingFixture fixture = counting().start()) {
             // when
             Answer answer = fixture.call(HttpMethod.POST, "/services/" + service + "/x", Map.of(header, value), "");
@@ -73,7 +73,7 @@
             String chunk = "fffff\r\n" + String.join("", Collections.nCopies(0xfffff, "x")) + "\r\n";
             caller.write(chunk);
             // then
-            RoutingFixture.until(closed::get);
+            RoutingFixture.waitUntil(closed::get);
             assertThat(answer.toString()).startsWith("HTTP/1.1 413").contains("\"notRun\":true");
             assertThat(received).hasValue(0);
         }
@@ -92,28 +92,28 @@
             caller.write(
                     "POST /services/layout/x HTTP/1.1\r\nHost: a\r\nDeadline-Ms: 200\r\nContent-Length: 9\r\n\r\npart");
             // then
-            RoutingFixture.until(closed::get);
+            RoutingFixture.waitUntil(closed::get);
             assertThat(answer.toString()).startsWith("HTTP/1.1 503").contains("DEADLINE_EXCEEDED");
             assertThat(received).hasValue(0);
         }
     }
 
     @Test
-    void should_drop_queued_request_of_caller_that_is_gone() {
+    void should_drop_queued_request_of_disconnected_caller() {
         try (RoutingFixture fixture = holding().start()) {
             // given
             Future<Answer> first = fixture.send(HttpMethod.POST, "/services/layout/first", Map.of(), "");
-            RoutingFixture.until(() -> held.size() == 1);
-            NetSocket gone =
+            RoutingFixture.waitUntil(() -> held.size() == 1);
+            NetSocket disconnected =
                     RoutingFixture.await(fixture.vertx.createNetClient().connect(fixture.port, "127.0.0.1"));
-            gone.write("POST /services/layout/gone HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
-            RoutingFixture.until(() -> fixture.service().loads().get(0).queued() == 1);
+            disconnected.write("POST /services/layout/gone HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
+            RoutingFixture.waitUntil(() -> fixture.service().loads().get(0).queued() == 1);
             // when
-            gone.close();
-            RoutingFixture.until(() -> fixture.service().loads().get(0).queued() == 0);
+            disconnected.close();
+            RoutingFixture.waitUntil(() -> fixture.service().loads().get(0).queued() == 0);
             Future<Answer> last = fixture.send(HttpMethod.POST, "/services/layout/last", Map.of(), "");
             held.get(0).response().end("first");
-            RoutingFixture.until(() -> held.size() == 2);
+            RoutingFixture.waitUntil(() -> held.size() == 2);
             held.get(1).response().end("last");
             // then
             assertThat(RoutingFixture.await(first).body()).hasToString("first");
@@ -127,9 +127,9 @@
         try (RoutingFixture fixture = holding().start()) {
             // given
             Future<Answer> running = fixture.send(HttpMethod.POST, "/services/layout/a", Map.of(), "");
-            RoutingFixture.until(() -> held.size() == 1);
+            RoutingFixture.waitUntil(() -> held.size() == 1);
             Future<Answer> queued = fixture.send(HttpMethod.POST, "/services/layout/b", Map.of(), "");
-            RoutingFixture.until(() -> fixture.service().loads().get(0).queued() == 1);
+            RoutingFixture.waitUntil(() -> fixture.service().loads().get(0).queued() == 1);
             // when
             Future<Void> drained = fixture.service().drain();
             Answer refused = fixture.call(HttpMethod.POST, "/services/layout/c", Map.of(), "");
@@ -138,7 +138,7 @@
             assertThat(refused.notRun()).isTrue();
             assertThat(drained.isComplete()).isFalse();
             held.get(0).response().end("a");
-            RoutingFixture.until(() -> held.size() == 2);
+            RoutingFixture.waitUntil(() -> held.size() == 2);
             held.get(1).response().end("b");
             assertThat(RoutingFixture.await(running).body()).hasToString("a");
             assertThat(RoutingFixture.await(queued).body()).hasToString("b");
@@ -150,7 +150,9 @@
     void should_run_keyed_request_once_and_replay_its_answer() {
         try (RoutingFixture fixture = counting()) {
             // given
-            fixture.start(Routings.routing(), new StoreKeyedRequests(fixture.vertx, new SystemClock(), new MapStore()));
+            fixture.start(
+                    RoutingTestData.routing(),
+                    new StoreKeyedRequests(fixture.vertx, new SystemClock(), new MapStore()));
             Map<String, String> key = Map.of("Idempotency-Key", "order-1");
             // when
             Answer first = fixture.call(HttpMethod.POST, "/services/layout/x", key, "a");
@@ -190,7 +192,7 @@
             });
             RequestService vm2 = fixture.peer("vm2", "dc2");
             fixture.start();
-            RoutingFixture.until(
+            RoutingFixture.waitUntil(
                     () -> !vm2.loads().isEmpty() && vm2.loads().get(0).freeSlots() == 8);
             // when
             Answer answer = fixture.call(HttpMethod.POST, "/services/layout/x", Map.of(), "body");
--- a/library/src/test/java/io/radishspindle/routing/HostileExecutorsTest.java
+++ b/library/src/test/java/io/radishspindle/routing/HostileExecutorsTest.java
@@ -16,7 +16,7 @@
 /** Executors that break the protocol, over loopback sockets. */
 class HostileExecutorsTest {
     /** Answers probes properly and anything else as {@code answer} does, once per request. */
-    private static void speak(NetSocket socket, Consumer<String> answer) {
+    private static void respond(NetSocket socket, Consumer<String> answer) {
         socket.handler(data -> {
             String head = data.toString();
             if (head.startsWith("GET /health")) {
@@ -34,9 +34,9 @@
         "'HTTP/1.1 200'",
         "'no HTTP at all\r\n\r\n'"
     })
-    void should_answer_unknown_when_answer_is_cut_or_garbled(String answer) {
+    void should_report_outcome_unknown_when_answer_is_truncated_or_malformed(String answer) {
         try (RoutingFixture fixture = new RoutingFixture()
-                .rawExecutor(8, socket -> speak(socket, head -> socket.end(Buffer.buffer(answer))))
+                .rawExecutor(8, socket -> respond(socket, head -> socket.end(Buffer.buffer(answer))))
                 .start()) {
             // when
             Answer result = fixture.call(HttpMethod.POST, "/services/layout/x", Map.of(), "order");
@@ -47,11 +47,11 @@
     }
 
     @Test
-    void should_repeat_idempotent_request_elsewhere_when_answer_is_cut() {
+    void should_retry_idempotent_request_elsewhere_when_answer_is_truncated() {
         try (RoutingFixture fixture = new RoutingFixture()
                 .rawExecutor(
                         8,
-                        socket -> speak(
+                        socket -> respond(
                                 socket,
                                 head -> socket.end(Buffer.buffer("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut"))))
                 .executor(8, request -> request.response().end("whole"))
@@ -65,13 +65,13 @@
         }
     }
 
-    /** Guards against a second answer on a connection that is taken for the answer to the next request. */
+    /** Guards against a second, unsolicited answer on a connection that is taken for the answer to the next request. */
     @Test
-    void should_never_give_an_unasked_answer_to_the_next_request() {
+    void should_never_give_an_unsolicited_answer_to_the_next_request() {
         try (RoutingFixture fixture = new RoutingFixture()
                 .rawExecutor(
                         1,
-                        socket -> speak(socket, head -> {
+                        socket -> respond(socket, head -> {
                             String path = head.split(" ", 3)[1];
                             socket.write("HTTP/1.1 200 OK\r\nContent-Length: " + path.length() + "\r\n\r\n" + path
                                     + "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen");
--- a/library/src/test/java/io/radishspindle/routing/RequestServiceTest.java
+++ b/library/src/test/java/io/radishspindle/routing/RequestServiceTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The request path over loopback sockets. */
+/** Tests the path of a request from caller to executor and back over loopback sockets. */
 class RequestServiceTest {
     @Test
     void should_pass_request_and_answer_through() {
@@ -49,7 +49,10 @@
         }
     }
 
-    /** A process that ended its drain when the result was known closed the connection before the answer was written. */
+    /**
+     * Guards against a drain that ends as soon as the result is known: the process then closes the connection before
+     * the answer is written.
+     */
     @Test
     void should_end_drain_only_after_answers_are_written() {
         List<HttpServerRequest> held = new CopyOnWriteArrayList<>();
@@ -57,7 +60,7 @@
                 new RoutingFixture().executor(8, held::add).start()) {
             // given a request in flight and a busy event loop of the callers' connections
             Future<Answer> answer = fixture.send(HttpMethod.POST, "/services/layout/x", Map.of(), "");
-            RoutingFixture.until(() -> held.size() == 1);
+            RoutingFixture.waitUntil(() -> held.size() == 1);
             CountDownLatch blocked = new CountDownLatch(1);
             CountDownLatch release = new CountDownLatch(1);
             fixture.callersContext.runOnContext(v -> {
@@ -68,7 +71,7 @@
             Future<Void> drained = fixture.service().drain();
             // when the result is known
             held.get(0).response().end("done");
-            RoutingFixture.until(() -> fixture.service().loads().get(0).freeSlots() == 8);
+            RoutingFixture.waitUntil(() -> fixture.service().loads().get(0).freeSlots() == 8);
             // then
             assertThat(drained.isComplete()).isFalse();
             release.countDown();
--- a/library/src/test/java/io/radishspindle/routing/RoutingFixture.java
+++ b/library/src/test/java/io/radishspindle/routing/RoutingFixture.java
@@ -56,7 +56,7 @@
     private RequestService service;
     boolean waitForSlots = true;
     String dataCentre = "dc1";
-    private final List<EntryVm> others = new ArrayList<>();
+    private final List<EntryVm> otherVms = new ArrayList<>();
     volatile int port;
     /** Event loop of the callers' connections; null before the start. */
     @Nullable
@@ -88,7 +88,7 @@
         return executor(slots, () -> false, handler);
     }
 
-    /** Adds an executor whose probes find it leaving once {@code leaving} says so. */
+    /** Adds an executor whose probes report it as leaving once {@code leaving} is true. */
     RoutingFixture executor(int slots, BooleanSupplier leaving, Handler<HttpServerRequest> handler) {
         HttpServer server = await(vertx.createHttpServer()
                 .requestHandler(request -> {
@@ -104,40 +104,40 @@
         return endpoint(slots, server.actualPort());
     }
 
-    /** Adds an executor that speaks whatever it likes. */
+    /** Adds an executor that handles its connections without HTTP, so that it can break the protocol. */
     RoutingFixture rawExecutor(int slots, Handler<NetSocket> handler) {
         NetServer server = await(vertx.createNetServer().connectHandler(handler).listen(0, "127.0.0.1"));
         return endpoint(slots, server.actualPort());
     }
 
     RoutingFixture endpoint(int slots, int executorPort) {
-        endpoints.add(Routings.endpoint("e" + endpoints.size(), dataCentre, executorPort, slots));
+        endpoints.add(RoutingTestData.endpoint("e" + endpoints.size(), dataCentre, executorPort, slots));
         return this;
     }
 
     RoutingFixture start() {
-        return start(Routings.routing(), noStore());
+        return start(RoutingTestData.routing(), noStore());
     }
 
     RoutingFixture start(EntrySettings.Routing routing, KeyedRequests keyed) {
         service = serviceOf("vm1", routing, keyed);
-        EntryVm self = Routings.vm("vm1", "dc1");
+        EntryVm self = RoutingTestData.vm("vm1", "dc1");
         List<EntryVm> vms = new ArrayList<>(List.of(self));
-        vms.addAll(others);
-        service.update(Routings.view(self, vms, endpoints));
+        vms.addAll(otherVms);
+        service.update(RoutingTestData.view(self, vms, endpoints));
         Router router = Router.router(vertx);
         router.route("/services/:service/*").handler(service.handler());
         await(vertx.deployVerticle(new CallersVerticle(router)));
-        until(() -> service.loads().stream().anyMatch(load -> load.freeSlots() > 0) || !waitForSlots);
+        waitUntil(() -> service.loads().stream().anyMatch(load -> load.freeSlots() > 0) || !waitForSlots);
         return this;
     }
 
     /** Starts another VM with eight free slots; the endpoints must have been added. */
     RequestService peer(String id, String peerDataCentre) {
-        RequestService peer = serviceOf(id, Routings.routing(), noStore());
-        EntryVm vm = Routings.vm(id, peerDataCentre, new ServiceLoad(Routings.SERVICE, 8, 0));
-        peer.update(Routings.view(vm, List.of(vm), endpoints));
-        others.add(vm);
+        RequestService peer = serviceOf(id, RoutingTestData.routing(), noStore());
+        EntryVm vm = RoutingTestData.vm(id, peerDataCentre, new ServiceLoad(RoutingTestData.SERVICE, 8, 0));
+        peer.update(RoutingTestData.view(vm, List.of(vm), endpoints));
+        otherVms.add(vm);
         waitForSlots = false;
         return peer;
     }
@@ -167,7 +167,7 @@
                 new HttpExecutorClient(vertx, routing.maxBodyBytes()),
                 peers.messenger(id),
                 keyed,
-                Routings.settings(id, routing),
+                RoutingTestData.settings(id, routing),
                 new MetricRegistry());
         created.start();
         return created;
@@ -184,11 +184,11 @@
     Future<Answer> send(HttpMethod method, String path, Map<String, String> headers, String body) {
         return callers.request(method, port, "127.0.0.1", path).compose(request -> {
             headers.forEach(request::putHeader);
-            return request.send(Buffer.buffer(body)).compose(RoutingFixture::whole);
+            return request.send(Buffer.buffer(body)).compose(RoutingFixture::toAnswer);
         });
     }
 
-    private static Future<Answer> whole(HttpClientResponse response) {
+    private static Future<Answer> toAnswer(HttpClientResponse response) {
         return response.body().map(body -> new Answer(response.statusCode(), response.headers(), body));
     }
 
@@ -200,7 +200,7 @@
         }
     }
 
-    static void until(BooleanSupplier condition) {
+    static void waitUntil(BooleanSupplier condition) {
         long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WAIT_MS);
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > endNs) {
--- a/library/src/test/java/io/radishspindle/routing/RoutingSimulation.java
+++ b/library/src/test/java/io/radishspindle/routing/RoutingSimulation.java
@@ -58,7 +58,7 @@
         store.loseAnswer = faults.loseStoreAnswer();
         for (int i = 0; i < DATA_CENTRES.size(); i++) {
             String dataCentre = DATA_CENTRES.get(i);
-            Endpoint endpoint = Routings.endpoint("e" + i, dataCentre, 1, 4);
+            Endpoint endpoint = RoutingTestData.endpoint("e" + i, dataCentre, 1, 4);
             executors.put(endpoint.id(), new SimExecutor(endpoint, time, random, history, faults));
             RoutingCore core = new RoutingCore(options, random.nextLong());
             SimVm vm = new SimVm("vm" + i, dataCentre, core, this, VirtualKeyedRequests.create(time, store));
@@ -71,7 +71,7 @@
     RoutingSimulation run(double perSecond, long durationMs) {
         long endMs = time.nowMs() + durationMs;
         time.run(100);
-        if (faults.events()) {
+        if (faults.scheduledEvents()) {
             scheduleEvents(durationMs);
         }
         scheduleCall(perSecond, endMs);
@@ -122,7 +122,10 @@
         return arrival(first.caller(), first.requestClass(), first.idempotent(), action.deadlineAtMs(), 1);
     }
 
-    /** A timeout answers first; later answers still arrive if faults say so, as duplicates. */
+    /**
+     * Adds a timeout to a reply. An answer after the timeout is dropped, or delivered as a duplicate if faults include
+     * late answers.
+     */
     private SimExecutor.Reply withTimeout(long deadlineAtMs, SimExecutor.Reply reply) {
         boolean[] done = {false};
         boolean[] timedOut = {false};
@@ -163,24 +166,24 @@
 
     private MembershipView viewOf(SimVm self) {
         long nowMs = time.nowMs();
-        Set<String> heard = new HashSet<>();
+        Set<String> reportedLeaving = new HashSet<>();
         List<EntryVm> all = new ArrayList<>();
         for (SimVm vm : vms.values()) {
             Liveness liveness = vm.draining ? Liveness.LEAVING : Liveness.LIVE;
             if (nowMs - SUSPECT_MS > vm.crashedAtMs) {
                 liveness = Liveness.DEAD;
             }
-            heard.addAll(vm.core.leavingEndpoints());
+            reportedLeaving.addAll(vm.core.leavingEndpoints());
             all.add(new EntryVm(vm.id, vm.dataCentre, "", 1, liveness, 1, vm.core.loads(nowMs)));
         }
         List<Endpoint> endpoints = new ArrayList<>();
         for (SimExecutor executor : executors.values()) {
             Endpoint e = executor.endpoint;
             boolean listed = leavingAtMs.getOrDefault(e.id(), Long.MAX_VALUE / 2) + VM_LIST_LAG_MS < nowMs;
-            Liveness liveness = listed || heard.contains(e.id()) ? Liveness.LEAVING : Liveness.LIVE;
+            Liveness liveness = listed || reportedLeaving.contains(e.id()) ? Liveness.LEAVING : Liveness.LIVE;
             endpoints.add(new Endpoint(e.id(), e.service(), e.dataCentre(), "", 1, e.slots(), 64, liveness));
         }
-        return Routings.view(all.get(new ArrayList<>(vms.keySet()).indexOf(self.id)), all, endpoints);
+        return RoutingTestData.view(all.get(new ArrayList<>(vms.keySet()).indexOf(self.id)), all, endpoints);
     }
 
     private void scheduleEvents(long durationMs) {
@@ -214,8 +217,8 @@
 
     /** A keyed call is repeated with the same key, mostly at another VM, until it succeeds. */
     private void call(String key, boolean keyed, int repeats) {
-        List<SimVm> open = vms.values().stream().filter(vm -> !vm.ended).toList();
-        SimVm vm = open.get(random.nextInt(open.size()));
+        List<SimVm> running = vms.values().stream().filter(vm -> !vm.ended).toList();
+        SimVm vm = running.get(random.nextInt(running.size()));
         long call = ++calls;
         String identity = keyed ? key : "call-" + call;
         boolean idempotent = !keyed && random.nextBoolean();
@@ -237,10 +240,10 @@
                     }
                 });
         vm.accept(call, identity, keyed ? Optional.of(key) : Optional.empty(), arrival, caller);
-        if (random.nextDouble() < faults.callerLeaves()) {
+        if (random.nextDouble() < faults.callerDisconnects()) {
             time.after(random.nextInt(100), () -> {
-                history.add(new History.Left(call, time.nowMs()));
-                vm.callerGone(call);
+                history.add(new History.Disconnected(call, time.nowMs()));
+                vm.callerDisconnected(call);
             });
         }
     }
@@ -248,7 +251,7 @@
     private RequestArrived arrival(
             String caller, RequestClass requestClass, boolean idempotent, long deadlineAtMs, int hops) {
         return new RequestArrived(
-                0, Routings.SERVICE, caller, requestClass, idempotent, time.nowMs(), deadlineAtMs, 100, hops);
+                0, RoutingTestData.SERVICE, caller, requestClass, idempotent, time.nowMs(), deadlineAtMs, 100, hops);
     }
 
     static Responder responder(Consumer<ServiceResponse> answer, Consumer<Failure> fail) {
--- a/library/src/test/java/io/radishspindle/routing/RoutingSimulationTest.java
+++ b/library/src/test/java/io/radishspindle/routing/RoutingSimulationTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Seeded runs of whole cells under faults; the history of callers and executors is checked. */
+/** Seeded runs of several entry VMs and executors under faults; the history of callers and executors is checked. */
 class RoutingSimulationTest {
     private static final double CALLS_PER_SECOND = 250;
     private static final long DURATION_MS = 20_000;
@@ -21,16 +21,16 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
     void should_keep_guarantees_under_faults(long seed) {
         // when
-        RoutingSimulation cell = run(seed, Routings.options());
+        RoutingSimulation simulation = run(seed, RoutingTestData.options());
         // then
-        assertThat(HistoryChecker.check(cell.history)).isEmpty();
-        long answered = cell.history.events().stream()
+        assertThat(HistoryChecker.check(simulation.history)).isEmpty();
+        long answered = simulation.history.events().stream()
                 .filter(event -> event instanceof History.Answered)
                 .count();
         assertThat(answered).isGreaterThan(3_000);
     }
 
-    /** Shows that each mechanism is needed: without it the same runs break its guarantee. */
+    /** Shows that each safeguard is needed: without it the same run breaks its guarantee. */
     @ParameterizedTest
     @CsvSource({
         "ATTEMPT_MATCHING, G3",
@@ -39,9 +39,10 @@
         "LEAVING_SIGNALS, G6",
         "DRAIN_WAIT, G7"
     })
-    void should_break_guarantee_without_mechanism(Safeguard safeguard, String guarantee) {
+    void should_break_guarantee_without_safeguard(Safeguard safeguard, String guarantee) {
         // when
-        List<String> violations = HistoryChecker.check(run(1, Routings.options().without(safeguard)).history);
+        List<String> violations =
+                HistoryChecker.check(run(1, RoutingTestData.options().without(safeguard)).history);
         // then
         assertThat(violations).anyMatch(violation -> violation.startsWith(guarantee));
     }
@@ -49,20 +50,20 @@
     @Test
     void should_get_fewer_busy_answers_with_split_slots() {
         // when
-        int split = busyAnswers(run(1, Routings.options()));
-        int shared = busyAnswers(run(1, Routings.options().without(Safeguard.SLOT_SPLIT)));
+        int split = busyAnswers(run(1, RoutingTestData.options()));
+        int shared = busyAnswers(run(1, RoutingTestData.options().without(Safeguard.SLOT_SPLIT)));
         // then
         assertThat(split).isLessThan(shared / 4);
     }
 
     @Test
     void should_give_same_history_for_same_seed() {
-        List<History.Event> first = run(3, Routings.options()).history.events();
-        assertThat(run(3, Routings.options()).history.events()).isEqualTo(first);
+        List<History.Event> first = run(3, RoutingTestData.options()).history.events();
+        assertThat(run(3, RoutingTestData.options()).history.events()).isEqualTo(first);
     }
 
-    private static int busyAnswers(RoutingSimulation cell) {
-        return cell.executors.values().stream()
+    private static int busyAnswers(RoutingSimulation simulation) {
+        return simulation.executors.values().stream()
                 .mapToInt(executor -> executor.busyAnswers)
                 .sum();
     }
--- a/library/src/test/java/io/radishspindle/routing/Routings.java
+++ b/library/src/test/java/io/radishspindle/routing/RoutingTestData.java
@@ -10,10 +10,10 @@
 import java.util.Map;
 
 /** Settings and views for tests. */
-final class Routings {
+final class RoutingTestData {
     static final String SERVICE = "layout";
 
-    private Routings() {}
+    private RoutingTestData() {}
 
     static EntrySettings.Routing routing() {
         return new EntrySettings.Routing(10_000, 60_000, 1_000, 200, 1_000_000, 3, 0.1, 50, 1_000, 30_000);
--- a/library/src/test/java/io/radishspindle/routing/SimExecutor.java
+++ b/library/src/test/java/io/radishspindle/routing/SimExecutor.java
@@ -38,7 +38,7 @@
 
     void startLeaving() {
         leaving = true;
-        history.add(new History.Leaving(endpoint.id(), time.nowMs()));
+        history.add(new History.EndpointLeaving(endpoint.id(), time.nowMs()));
     }
 
     /** Handles a request; the reply may come twice if answers are late. */
--- a/library/src/test/java/io/radishspindle/routing/SimFaults.java
+++ b/library/src/test/java/io/radishspindle/routing/SimFaults.java
@@ -1,9 +1,9 @@
 package io.radishspindle.routing;
 
 /**
- * Faults of a simulation; rates are per event.
+ * Faults of a simulation, as probabilities per request, answer, probe or store call.
  *
- * @param events endpoints leave and hang, VMs pause, crash and drain
+ * @param scheduledEvents endpoints leave and hang, VMs pause, crash and drain
  */
 record SimFaults(
         double refuseConnection,
@@ -12,9 +12,9 @@
         double lateAnswer,
         double loseForward,
         double loseProbe,
-        double callerLeaves,
+        double callerDisconnects,
         double loseStoreAnswer,
-        boolean events) {
+        boolean scheduledEvents) {
     static final SimFaults NONE = new SimFaults(0, 0, 0, 0, 0, 0, 0, 0, false);
     static final SimFaults ALL = new SimFaults(0.03, 0.02, 0.03, 0.03, 0.02, 0.05, 0.05, 0.1, true);
 }
--- a/library/src/test/java/io/radishspindle/routing/SimVm.java
+++ b/library/src/test/java/io/radishspindle/routing/SimVm.java
@@ -35,7 +35,7 @@
     final String id;
     final String dataCentre;
     final RoutingCore core;
-    private final RoutingSimulation world;
+    private final RoutingSimulation simulation;
     private final KeyedRequests keyed;
     private final Map<Long, Local> requests = new HashMap<>();
     private final Map<Long, Long> localIds = new HashMap<>();
@@ -46,22 +46,22 @@
     boolean draining;
     boolean ended;
 
-    SimVm(String id, String dataCentre, RoutingCore core, RoutingSimulation world, KeyedRequests keyed) {
+    SimVm(String id, String dataCentre, RoutingCore core, RoutingSimulation simulation, KeyedRequests keyed) {
         this.id = id;
         this.dataCentre = dataCentre;
         this.core = core;
-        this.world = world;
+        this.simulation = simulation;
         this.keyed = keyed;
     }
 
     /** Feeds the core; a paused VM gets the event when it resumes, an ended one never. */
     void feed(RoutingEvent event) {
-        long nowMs = world.time.nowMs();
+        long nowMs = simulation.time.nowMs();
         if (ended) {
             return;
         }
         if (nowMs < pausedUntilMs) {
-            world.time.after(pausedUntilMs - nowMs, () -> feed(event));
+            simulation.time.after(pausedUntilMs - nowMs, () -> feed(event));
             return;
         }
         core.handle(nowMs, event).forEach(this::perform);
@@ -70,14 +70,14 @@
 
     void drain() {
         draining = true;
-        world.history.add(new History.Draining(id, world.time.nowMs()));
+        simulation.history.add(new History.DrainStarted(id, simulation.time.nowMs()));
         feed(new RoutingEvent.DrainStarted());
     }
 
     void crash() {
         ended = true;
-        crashedAtMs = world.time.nowMs();
-        world.history.add(new History.Ended(id, true, crashedAtMs));
+        crashedAtMs = simulation.time.nowMs();
+        simulation.history.add(new History.VmStopped(id, true, crashedAtMs));
     }
 
     void accept(long call, String identity, Optional<String> key, RequestArrived arrival, Responder caller) {
@@ -102,7 +102,7 @@
                     } else if (result.get() instanceof BeginResult.Granted granted) {
                         submit(call, identity, local, new KeyedResponder(keyed, granted.claim(), counted));
                     } else {
-                        KeyedResponder.repeat(result.get(), counted);
+                        KeyedResponder.answerRepeat(result.get(), counted);
                     }
                 });
     }
@@ -115,10 +115,10 @@
         submit(call, identity, withId(arrival, ++nextId), counted(origin));
     }
 
-    void callerGone(long call) {
+    void callerDisconnected(long call) {
         Long local = localIds.get(call);
         if (local != null) {
-            feed(new RoutingEvent.CallerGone(local));
+            feed(new RoutingEvent.CallerDisconnected(local));
         }
     }
 
@@ -138,10 +138,11 @@
         } else if (action instanceof RoutingAction.Refuse refuse) {
             requests.remove(refuse.requestId()).responder.fail(refuse.failure());
         } else if (action instanceof RoutingAction.Abandon abandon) {
-            Failure gone = abandon.mayHaveRun() ? Failure.unknown("test", "", "gone") : Refusals.callerGone();
-            requests.remove(abandon.requestId()).responder.fail(gone);
+            Failure failure =
+                    abandon.mayHaveRun() ? Failure.unknown("test", "", "gone") : Refusals.callerDisconnected();
+            requests.remove(abandon.requestId()).responder.fail(failure);
         } else if (action instanceof RoutingAction.Probe probe) {
-            world.probe(
+            simulation.probe(
                     probe,
                     result -> feed(new RoutingEvent.ProbeCompleted(probe.endpointId(), probe.sentAtMs(), result)));
         }
@@ -151,7 +152,7 @@
         Local local = requests.get(action.requestId());
         local.attempt = action.attempt();
         local.response = null;
-        world.send(
+        simulation.send(
                 action,
                 local.call,
                 local.identity,
@@ -162,7 +163,7 @@
         Local local = requests.get(action.requestId());
         local.attempt = action.attempt();
         local.response = null;
-        world.forward(
+        simulation.forward(
                 this,
                 action,
                 local.call,
@@ -201,7 +202,7 @@
     private void endIfDrained() {
         if (draining && inFlight == 0 && !ended) {
             ended = true;
-            world.history.add(new History.Ended(id, false, world.time.nowMs()));
+            simulation.history.add(new History.VmStopped(id, false, simulation.time.nowMs()));
         }
     }
 
