--- a/library/src/main/java/io/radishspindle/idempotency/StoreKeyedRequests.java
+++ b/library/src/main/java/io/radishspindle/idempotency/StoreKeyedRequests.java
@@ -90,7 +90,7 @@
         Promise<Either<Failure, Void>> promise = Promise.promise();
         submit(new BucketOperation.Release(claim, false, backgroundDeadline()), INTENT_BATCH_MS)
                 .onComplete(done -> promise.tryComplete(done.result()));
-        Failure pending = Failure.unknown("idempotency.release", "store", "the release is not confirmed yet");
+        Failure pending = Failure.outcomeUnknown("idempotency.release", "store", "the release is not confirmed yet");
         environment.eventLoop().execute(() -> environment
                 .timers()
                 .after(RELEASE_WAIT_MS, () -> promise.tryComplete(Either.left(pending))));
--- a/library/src/test/java/io/radishspindle/routing/SimVm.java
+++ b/library/src/test/java/io/radishspindle/routing/SimVm.java
@@ -139,7 +139,7 @@
             requests.remove(refuse.requestId()).responder.fail(refuse.failure());
         } else if (action instanceof RoutingAction.Abandon abandon) {
             Failure failure =
-                    abandon.mayHaveRun() ? Failure.unknown("test", "", "gone") : Refusals.callerDisconnected();
+                    abandon.mayHaveRun() ? Failure.outcomeUnknown("test", "", "gone") : Refusals.callerDisconnected();
             requests.remove(abandon.requestId()).responder.fail(failure);
         } else if (action instanceof RoutingAction.Probe probe) {
             simulation.probe(
