--- a/library/src/main/java/io/radishspindle/routing/Responder.java
+++ b/library/src/main/java/io/radishspindle/routing/Responder.java
@@ -9,10 +9,10 @@
  * answered once.
  */
 interface Responder {
-    /** The future never fails; it completes when the answer is written or its recipient is gone. */
+    /** The future never fails; it completes when the answer is written or its recipient has disconnected. */
     Future<Void> answer(ServiceResponse response);
 
-    /** The future never fails; it completes when the failure is written or its recipient is gone. */
+    /** The future never fails; it completes when the failure is written or its recipient has disconnected. */
     Future<Void> fail(Failure failure);
 
     /** True if the recipient has closed its connection. */
--- a/library/src/test/java/io/radishspindle/routing/SimExecutor.java
+++ b/library/src/test/java/io/radishspindle/routing/SimExecutor.java
@@ -69,21 +69,21 @@
     }
 
     private void answer(String identity, Reply reply) {
-        ServiceResponse whole = new ServiceResponse(
+        ServiceResponse response = new ServiceResponse(
                 200,
                 MultiMap.caseInsensitiveMultiMap(),
                 Buffer.buffer(History.answerTo(identity)),
                 false,
                 leaving && random.nextBoolean());
-        AttemptOutcome answered = new AttemptOutcome.Answered(200, whole.leaving());
+        AttemptOutcome answered = new AttemptOutcome.Answered(200, response.leaving());
         double fault = random.nextDouble();
         if (fault < faults.breakAfterRun()) {
             reply.accept(broken(), NONE);
         } else if (fault < faults.breakAfterRun() + faults.lateAnswer()) {
             reply.accept(broken(), NONE);
-            later(1 + random.nextInt(50), () -> reply.accept(answered, whole));
+            later(1 + random.nextInt(50), () -> reply.accept(answered, response));
         } else {
-            later(1, () -> reply.accept(answered, whole));
+            later(1, () -> reply.accept(answered, response));
         }
     }
 
--- a/library/src/test/java/io/radishspindle/routing/SimVm.java
+++ b/library/src/test/java/io/radishspindle/routing/SimVm.java
@@ -138,8 +138,9 @@
         } else if (action instanceof RoutingAction.Refuse refuse) {
             requests.remove(refuse.requestId()).responder.fail(refuse.failure());
         } else if (action instanceof RoutingAction.Abandon abandon) {
-            Failure failure =
-                    abandon.mayHaveRun() ? Failure.outcomeUnknown("test", "", "gone") : Refusals.callerDisconnected();
+            Failure failure = abandon.mayHaveRun()
+                    ? Failure.outcomeUnknown("test", "", "caller disconnected")
+                    : Refusals.callerDisconnected();
             requests.remove(abandon.requestId()).responder.fail(failure);
         } else if (action instanceof RoutingAction.Probe probe) {
             simulation.probe(
