--- a/library/src/main/java/io/radishspindle/placement/internal/Attempt.java
+++ b/library/src/main/java/io/radishspindle/placement/internal/Attempt.java
@@ -5,8 +5,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A live attempt and what is charged for it. An attempt without a job is one that a worker reported and that no known
- * task owns. Not thread-safe.
+ * A live attempt and what is charged for it. An attempt without a job is one that a worker reported and that belongs to
+ * no known task. Not thread-safe.
  */
 final class Attempt {
     final TaskAttempt id;
@@ -24,7 +24,7 @@
     boolean stopSent;
     Resources peak = Resources.NONE;
     /** Milli-cores that a throttled attempt lacks; 0 if it is not throttled. */
-    long throttledBy;
+    long missingMilliCores;
 
     Attempt(TaskAttempt id, @Nullable JobState job, WorkerState worker, Resources charged, long startedAtMs) {
         this.id = id;
--- a/library/src/main/java/io/radishspindle/pool/runtime/NodeLease.java
+++ b/library/src/main/java/io/radishspindle/pool/runtime/NodeLease.java
@@ -15,14 +15,14 @@
 import org.tinylog.Logger;
 
 /**
- * The lease of this VM in the shared store; the VM's entry and its ownerships are bound to it. Belongs to one event
- * loop.
+ * The lease of this VM in the shared store. The VM's member entry and its claims are bound to it, so that they vanish
+ * when it expires. Confined to one event loop.
  */
 final class NodeLease {
-    /** Life of the lease without renewal, in milliseconds; four renewals may fail. */
+    /** Time to live of the lease, in milliseconds; four renewals in a row may fail before it expires. */
     private static final long TTL_MS = 2_000;
 
-    private static final long RENEW_MS = 450;
+    private static final long RENEW_INTERVAL_MS = 450;
 
     private final Vertx vertx;
     private final SharedStore store;
@@ -37,7 +37,7 @@
         this.self = self;
     }
 
-    /** Id of the lease; 0 while there is none. */
+    /** Id of the lease; 0 if there is none. */
     long id() {
         return lease;
     }
@@ -58,7 +58,7 @@
         }
         store.createLease(TTL_MS).onSuccess(result -> {
             if (result.isLeft()) {
-                later(this::create);
+                schedule(this::create);
                 return;
             }
             lease = result.get();
@@ -77,9 +77,9 @@
     }
 
     /**
-     * Announces that this VM is about to stop, so that others neither wait for it to claim a pool nor ask it.
+     * Marks this VM as about to stop, so that others neither wait for it to claim a pool nor send it requests.
      *
-     * @return the entry to be written, if the VM is registered; a later registration announces it as well
+     * @return the member entry to write, if there is a lease; later registrations carry the mark as well
      */
     Optional<Write> drain() {
         draining = true;
@@ -89,11 +89,11 @@
     private void onRegistered(Either<Failure, TxnResult> result) {
         if (result.isRight()) {
             Logger.info("event=member-registered vm={} lease={}", self.vmId(), lease);
-            later(this::renew);
+            schedule(this::renew);
         } else if (result.getLeft().code() == ErrorCode.NOT_FOUND) {
-            lost();
+            onLost();
         } else {
-            later(this::register);
+            schedule(this::register);
         }
     }
 
@@ -103,20 +103,20 @@
         }
         store.renewLease(lease).onSuccess(result -> {
             if (result.isLeft() && result.getLeft().code() == ErrorCode.NOT_FOUND) {
-                lost();
+                onLost();
             } else {
-                later(this::renew);
+                schedule(this::renew);
             }
         });
     }
 
-    private void lost() {
+    private void onLost() {
         Logger.warn("event=lease-lost vm={} lease={}", self.vmId(), lease);
         lease = 0;
         create();
     }
 
-    private void later(Runnable action) {
-        vertx.setTimer(RENEW_MS, ignored -> action.run());
+    private void schedule(Runnable action) {
+        vertx.setTimer(RENEW_INTERVAL_MS, ignored -> action.run());
     }
 }
