--- a/library/src/main/java/io/radishspindle/protocol/PeerAuthenticator.java
+++ b/library/src/main/java/io/radishspindle/protocol/PeerAuthenticator.java
@@ -25,8 +25,8 @@
     }
 
     /**
-     * Input of the authentication codes, known to both sides once the nonces are exchanged. Immutable by convention; the
-     * arrays are not copied.
+     * Input of the authentication codes, known to both sides once the nonces are exchanged. Immutable by convention;
+     * the arrays are not copied.
      */
     record Challenge(String connectingVm, byte[] connectingNonce, String acceptingVm, byte[] acceptingNonce) {
         Challenge {
